--- a/tests/passthrough/test_batching.py
+++ b/tests/passthrough/test_batching.py
@@ -25,8 +25,8 @@
     assert [j.call_id for j in take_batch(jobs, PROFILE, 10, 2.0)] == ["soon", "later"]
 
 
-def at(place, **home_waits):
-    return FreeTarget(place, 1, home_waits)
+def at(place, **waits_by_data_centre):
+    return FreeTarget(place, 1, waits_by_data_centre)
 
 
 def away(away_bytes=HEAVY, name="away", home="there"):
@@ -98,9 +98,9 @@
 
 
 def test_stage_without_a_home_is_not_begun_where_nobody_can_read_its_results():
-    job = msgspec.structs.replace(away(0, home=""), apart_bytes=HEAVY, next_pools=("later",))
+    job = msgspec.structs.replace(away(0, home=""), split_bytes=HEAVY, reader_pools=("later",))
     waits = {"here": 0.0, "there": 0.1}
-    lacking = FreeTarget("here", 1, waits, lacks=frozenset({"later"}))
+    lacking = FreeTarget("here", 1, waits, missing_pools=frozenset({"later"}))
     assert take_batch([job], LARGE, HEAVY, 1.0, lacking) == []
     assert take_batch([job], LARGE, HEAVY, 1.0, FreeTarget("here", 1, waits)) == [job]
 
--- a/tests/passthrough/test_homes.py
+++ b/tests/passthrough/test_homes.py
@@ -9,7 +9,7 @@
 from tests.support.emulator.gateway import EmulatedGateway, run, table
 from tests.support.emulator.runner import Runner
 from traystall.core import clock
-from traystall.passthrough.stages.homes import StageHome, home_of_stage
+from traystall.passthrough.stages.locality import StageLocality, stage_locality
 from traystall.registry.models import TargetReport
 from traystall.routes.models import StagePlan
 
@@ -24,23 +24,23 @@
 
 
 def home(index, inputs=None, read_at="a", counts=COUNTS):
-    return home_of_stage(STAGES, counts, index, Counter(inputs or {}), read_at)
+    return stage_locality(STAGES, counts, index, Counter(inputs or {}), read_at)
 
 
 def test_heavy_result_is_made_where_it_is_read():
-    assert home(0) == StageHome("a", 3_000_000, 0, ())
+    assert home(0) == StageLocality("a", 3_000_000, 0, ())
 
 
 def test_first_stage_with_little_to_move_is_made_anywhere():
-    assert home(1) == StageHome("", 0, 8 * 8_000, ("portal",))
+    assert home(1) == StageLocality("", 0, 8 * 8_000, ("portal",))
 
 
 def test_stage_that_reads_little_is_made_anywhere_and_kept_together():
-    assert home(2, {"b": 8_000}) == StageHome("", 0, 16 * 60_000, ("ledger",))
+    assert home(2, {"b": 8_000}) == StageLocality("", 0, 16 * 60_000, ("ledger",))
 
 
 def test_stage_follows_its_inputs_not_the_engine():
-    assert home(3, {"b": 480_000}, read_at="a") == StageHome("b", 480_000, 0, ())
+    assert home(3, {"b": 480_000}, read_at="a") == StageLocality("b", 480_000, 0, ())
 
 
 def test_stage_follows_the_larger_part_of_its_inputs():
--- a/traystall/passthrough/stages/batcher.py
+++ b/traystall/passthrough/stages/batcher.py
@@ -17,9 +17,9 @@
 from traystall.passthrough.admission.book import AdmissionBook, Arrival, Verdict
 from traystall.passthrough.context import PassContext
 from traystall.passthrough.stages.cells import cell_of
-from traystall.passthrough.stages.homes import StageHome, home_of_stage
+from traystall.passthrough.stages.locality import StageLocality, stage_locality
 from traystall.passthrough.stages.piece_queue import PieceQueue
-from traystall.passthrough.stages.releases import Releases
+from traystall.passthrough.stages.releases import ResultReleases
 from traystall.rpc.client import LinkPool
 from traystall.rpc.gen.wire.ttypes import (
     PingReply,
@@ -42,9 +42,9 @@
 _REPLY_SECONDS = 0.3
 # The part of the aim that a request may wait to be let in, the part of the time left for one
 # that came back, and how often that is asked, in seconds.
-_ADMISSION_PART = 0.2
-_WAIT_PART = 0.4
-_ASK_SECONDS = 0.05
+_ADMISSION_WAIT_RATIO = 0.2
+_RETRY_WAIT_RATIO = 0.4
+_ADMISSION_POLL_SECONDS = 0.05
 
 logger = logging.getLogger(__name__)
 
@@ -59,10 +59,10 @@
         self._queues: dict[tuple[str, str], PieceQueue] = {}
         self._books: dict[str, AdmissionBook] = {}
         # By cell, how long the queues of its shared pools were, and when that was told.
-        self._waits: dict[str, tuple[dict[str, float], float]] = {}
+        self._queue_waits: dict[str, tuple[dict[str, float], float]] = {}
         # Calls whose requests came back and wait to be let in.
-        self._wait_for_room: set[str] = set()
-        self._releases = Releases(context, links, self.freed_here)
+        self._awaiting_admission: set[str] = set()
+        self._releases = ResultReleases(context, links, self.freed_here)
         self._tasks: set[asyncio.Task] = set()
 
     async def run(self, request: StageRequest) -> StageReply:
@@ -72,29 +72,29 @@
             if owner is None:
                 break
             try:
-                self._pass_on(request)
-                reply = await self._run_at(owner, request)
+                self._attach_queue_waits(request)
+                reply = await self._run_remotely(owner, request)
             except RpcError as error:
-                self._leave(owner, request, error)
+                self._mark_unavailable(owner, request, error)
                 continue
             self._releases.note_batched(reply.handles, owner.rpc_address)
             if reply.waits:
-                self._waits[self._cell(request)] = (reply.waits, clock.monotonic())
+                self._queue_waits[self._cell(request)] = (reply.waits, clock.monotonic())
             return reply
-        self._pass_on(request)
+        self._attach_queue_waits(request)
         return await self.run_here(request)
 
     def waits_told(self) -> dict[str, dict[str, float]]:
         """Return how long the queues of shared pools were, by cell, as this gateway was told."""
-        return {cell: waits for cell, (waits, _) in self._waits.items()}
+        return {cell: waits for cell, (waits, _) in self._queue_waits.items()}
 
-    def _pass_on(self, request):
+    def _attach_queue_waits(self, request):
         """Tell whoever batches what was told last of the queues of its cell."""
-        waits, at = self._waits.get(self._cell(request), (None, 0.0))
+        waits, at = self._queue_waits.get(self._cell(request), (None, 0.0))
         if waits:
             request.waits, request.waits_age = waits, clock.monotonic() - at
 
-    def _leave(self, owner, request, error):
+    def _mark_unavailable(self, owner, request, error):
         """Note that a batcher does not serve; the next one in order is asked then."""
         self._context.owners.on_error(owner.identity, error)
         decision(
@@ -111,9 +111,9 @@
         if request.waits:
             age = request.waits_age or 0.0
             self._book(cell).take_over(request.waits, age, clock.monotonic())
-        verdict = await self._let_in(request, cell)
+        verdict = await self._wait_for_admission(request, cell)
         if not verdict.admitted:
-            rest = self._rest(request)
+            rest = self._backoff_seconds(request)
             after_rest = self._context.after_rest(rest) if rest else 0.0
             retry_after = max(verdict.retry_after, after_rest)
             return StageReply(
@@ -124,28 +124,30 @@
             )
         book = self._book(cell)
         book.asked(request.request_id, request.stage)
-        reply = await self._queue(cell, request.pool).run(request, self._home(request))
+        reply = await self._queue(cell, request.pool).run(request, self._locality(request))
         now = clock.monotonic()
         reply.waits = book.waits(now) or None
         if all(reply.handles):
             book.made(request.request_id, request.stage, self._usual_seconds(request), now)
         return reply
 
-    def _rest(self, request) -> float:
+    def _backoff_seconds(self, request) -> float:
         """Return how long a pool of its stages rests as a whole, in seconds; 0 if none does."""
         route = self._context.index.named(request.route)
         pools = {stage.pool for stage in route.stages} if route is not None else set()
         places = tuple(request.places or ())
         return max((self._context.rest_left(pool, places) for pool in pools), default=0.0)
 
-    def _home(self, request) -> StageHome:
+    def _locality(self, request) -> StageLocality:
         """Return where a stage is best made, by where its inputs lie and who reads its results."""
         route = self._context.index.named(request.route)
         counts = request.counts or []
         if route is None or len(counts) != len(route.stages):
-            return StageHome(request.data_centre or "", request.away_bytes or 0)
+            return StageLocality(request.data_centre or "", request.away_bytes or 0)
         inputs = self._input_bytes(route, counts, request)
-        return home_of_stage(route.stages, counts, request.stage, inputs, request.data_centre or "")
+        return stage_locality(
+            route.stages, counts, request.stage, inputs, request.data_centre or ""
+        )
 
     def _input_bytes(self, route, counts, request) -> Counter[str]:
         """Return the bytes that each piece of a stage reads, by the data centre where they lie."""
@@ -177,14 +179,14 @@
 
     def cancel(self, call_id: str, request_id: str) -> None:
         """Drop the pieces of a call that nobody waits for any more; its request is over."""
-        self._wait_for_room.discard(call_id)
-        self._end(request_id)
+        self._awaiting_admission.discard(call_id)
+        self._end_request(request_id)
         for queue in self._queues.values():
             queue.cancel(call_id)
 
     def abandon(self, request_id: str, data_centre: str) -> None:
         """Tell that a request is over and will ask for nothing more."""
-        self._end(request_id)
+        self._end_request(request_id)
         owner = self._owner(cell_of(request_id, data_centre, self._context.cells()))
         if owner is not None:
             message = StageCancel(call_id="", request_id=request_id)
@@ -202,7 +204,7 @@
 
     def free(self, pool: str, handles: list[str]) -> None:
         """Give results up."""
-        self._releases.give_up(pool, handles)
+        self._releases.release(pool, handles)
 
     async def drain(self, seconds: float) -> None:
         """Return once nobody waits for pieces that are batched here, or after `seconds`."""
@@ -230,11 +232,11 @@
         data_centre = request.data_centre or ""
         return cell_of(request.request_id, data_centre, self._context.cells())
 
-    async def _run_at(self, owner, request):
+    async def _run_remotely(self, owner, request):
         link = self._links.link(owner.rpc_address)
         seconds = max(0.1, request.seconds_left) + _REPLY_SECONDS
         call = asyncio.create_task(link.call(request, seconds))
-        watch = asyncio.create_task(self._watch(link))
+        watch = asyncio.create_task(self._monitor(link))
         try:
             await asyncio.wait({call, watch}, return_when=asyncio.FIRST_COMPLETED)
             if call.done():
@@ -252,7 +254,7 @@
             call.cancel()
             await asyncio.gather(call, watch, return_exceptions=True)
 
-    async def _watch(self, link):
+    async def _monitor(self, link):
         """Raise an RpcError once the batcher doesn't answer."""
         while True:
             await asyncio.sleep(_PING_SECONDS)
@@ -266,45 +268,45 @@
 
     # ---- this gateway batches ----
 
-    async def _let_in(self, request, cell) -> Verdict:
+    async def _wait_for_admission(self, request, cell) -> Verdict:
         """Return the verdict on a request, which may wait a while for it."""
         verdict = self._admit(request, cell, 0.0)
         if verdict.admitted or request.refuse_at_once:
             return verdict
         began = clock.monotonic()
-        patience = self._patience(request, verdict)
+        patience = self._max_admission_wait(request, verdict)
         waited = 0.0
-        if self._rest(request) > patience or verdict.seconds_to_turn > patience:
+        if self._backoff_seconds(request) > patience or verdict.seconds_to_turn > patience:
             # Nothing that could happen meanwhile would let it in.
-            self._refuse(request, cell, verdict, waited)
+            self._record_refusal(request, cell, verdict, waited)
             return verdict
-        self._wait_for_room.add(request.call_id)
+        self._awaiting_admission.add(request.call_id)
         try:
-            while not verdict.admitted and request.call_id in self._wait_for_room:
-                if waited + _ASK_SECONDS > patience:
-                    self._refuse(request, cell, verdict, waited)
+            while not verdict.admitted and request.call_id in self._awaiting_admission:
+                if waited + _ADMISSION_POLL_SECONDS > patience:
+                    self._record_refusal(request, cell, verdict, waited)
                     break
-                await asyncio.sleep(_ASK_SECONDS)
+                await asyncio.sleep(_ADMISSION_POLL_SECONDS)
                 waited = clock.monotonic() - began
                 verdict = self._admit(request, cell, waited)
         finally:
-            self._wait_for_room.discard(request.call_id)
+            self._awaiting_admission.discard(request.call_id)
         request.seconds_left -= waited
         request.seconds_to_start -= waited
         return verdict
 
-    def _patience(self, request, verdict) -> float:
+    def _max_admission_wait(self, request, verdict) -> float:
         """Return how long a request may wait to be let in, in seconds.
 
         A refusal within a quarter of the aim is worth most to its caller. Where pools are shared by
         parts, who came back waits no longer than others: its turn comes like theirs.
         """
         if verdict.came_back and not verdict.shared:
-            return (request.seconds_left or 0.0) * _WAIT_PART
+            return (request.seconds_left or 0.0) * _RETRY_WAIT_RATIO
         route = self._context.index.named(request.route)
-        return route.aim * _ADMISSION_PART if route is not None else 0.0
+        return route.aim * _ADMISSION_WAIT_RATIO if route is not None else 0.0
 
-    def _refuse(self, request, cell, verdict, waited):
+    def _record_refusal(self, request, cell, verdict, waited):
         self._book(cell).refuse(request.mark or "", clock.monotonic())
         metrics.not_admitted_total.inc({"route": request.route or "", "pool": verdict.binding})
         decision(
@@ -354,7 +356,7 @@
     def _book(self, cell) -> AdmissionBook:
         return self._books.setdefault(cell, AdmissionBook())
 
-    def _end(self, request_id):
+    def _end_request(self, request_id):
         for book in self._books.values():
             book.ended(request_id)
 
--- a/traystall/passthrough/stages/batching.py
+++ b/traystall/passthrough/stages/batching.py
@@ -1,4 +1,8 @@
-"""Decide which pieces a free target gets. Pure; times are monotonic seconds, sizes bytes."""
+"""Select the pieces for the next call of a target. Pure functions.
+
+A stage of a request consists of pieces. A target runs several pieces in one call, a batch, and
+keeps their results in its memory until they are freed. Times are monotonic seconds, sizes bytes.
+"""
 
 from collections import Counter
 
@@ -6,27 +10,30 @@
 
 from traystall.routes.models import BatchProfile
 
-# A piece that should have begun this long ago is no longer likely to be in time.
-_LOST_SECONDS = 0.25
-# A pool is crowded when more waits than this part of what all its targets take at once.
-_CROWDED_PART = 0.4
-# A stage that needs more than this part of a target's whole room is not made at one target.
-_WHOLE_PART = 0.8
-# Bytes that cross data centres count as much as waiting, so many as a second
-# (docs/design/platform-rounds.md, "Tried and dropped").
-_BYTES_PER_SECOND = 10_000_000
-# A stage that moves more than this stays at home as long as it is in time by _SLACK_SECONDS,
-# and once it is late; one that moves less goes away when it has to begin within _PRESSING_SECONDS.
-_HEAVY_BYTES = 300_000
-_PRESSING_SECONDS = 0.1
-_SLACK_SECONDS = 0.15
+# A piece that is overdue by more than this is unlikely to meet its request's deadline.
+_MAX_LATENESS_SECONDS = 0.25
+# A pool is crowded when more pieces wait than this ratio of what all its targets take at once.
+_CROWDED_RATIO = 0.4
+# A stage whose results need more than this ratio of a target's result memory may be split across
+# targets.
+_MAX_STAGE_MEMORY_RATIO = 0.8
+# Exchange rate between traffic and latency: moving this many bytes between data centres costs as
+# much as one second of waiting (docs/design/platform-rounds.md, "Tried and dropped").
+_CROSSING_BYTES_PER_SECOND = 10_000_000
+# A stage that moves more than this leaves its preferred data centre only if waiting there would
+# leave less than _MIN_SLACK_SECONDS and the stage is not late yet. A stage that moves less leaves
+# when it is due within _URGENT_SECONDS.
+_HEAVY_STAGE_BYTES = 300_000
+_URGENT_SECONDS = 0.1
+_MIN_SLACK_SECONDS = 0.15
 
 
 class PieceJob(msgspec.Struct, eq=False):
-    """Hold one piece that is to be made.
+    """Hold one piece that waits to be run.
 
-    `due` is when it should begin so that its request is in time, `deadline`
-    when it is of no more use; `data_centre` is where its result will be read.
+    `due` is the latest start with which its request meets its latency target, `deadline` the time
+    after which the result is useless. `data_centre` is where the piece preferably runs; empty
+    means anywhere.
     """
 
     call_id: str
@@ -41,30 +48,30 @@
     result_bytes: int
     data_centre: str = ""
     tries: int = 0
-    # Data centres in which the result may be; none means anywhere.
+    # Data centres in which the customer allows the result to be kept; none means anywhere.
     places: tuple[str, ...] = ()
-    # What crosses data centres if it is made away from `data_centre`, and if it is made in
-    # another one than the rest of its stage.
+    # Bytes that cross data centres if the piece runs outside `data_centre`, and if it runs in
+    # another data centre than the rest of its stage.
     away_bytes: int = 0
-    apart_bytes: int = 0
-    # The pools whose targets will read its result.
-    next_pools: tuple[str, ...] = ()
-    # Whether it goes in a call with pieces of its own request only.
+    split_bytes: int = 0
+    # The pools whose targets read the result.
+    reader_pools: tuple[str, ...] = ()
+    # Whether the piece may share a call only with pieces of its own request.
     alone: bool = False
 
 
 def order_key(job: PieceJob, now: float) -> tuple:
-    """Return what to sort by: requests that have begun, then urgency, then time left.
+    """Return the sort key of a waiting piece: begun requests first, then priority, then due time.
 
-    What a request that has begun holds takes room, so it goes on even if it is
-    late; of the others those that can still be in time go first.
+    A request that has begun holds result memory, so it continues even if it is late. Of the other
+    requests of a priority, those that can still be in time go first.
     """
-    begun = bool(job.inputs)
-    lost = not begun and job.due < now - _LOST_SECONDS
+    has_begun = bool(job.inputs)
+    is_too_late = not has_begun and job.due < now - _MAX_LATENESS_SECONDS
     return (
-        not begun,
+        not has_begun,
         job.priority,
-        lost,
+        is_too_late,
         job.due,
         job.request_id,
         job.stage,
@@ -73,115 +80,123 @@
 
 
 class FreeTarget(msgspec.Struct, frozen=True):
-    """Describe the target to be called: where it is, and what else the pool has.
+    """Describe the target to be called: its data centre, and the other targets of its pool.
 
-    `workers` are all targets of the pool, `home_waits` how long the next of them
-    in each data centre is still at work, in seconds, and `home_rates` how many
-    pieces a second they make there; a data centre that is not named has none.
-    `lacks` names pools that have no target in this data centre.
+    `workers` counts the targets of the pool. `waits_by_data_centre` holds the seconds until the
+    next target in each data centre is free, `rates_by_data_centre` the pieces per second that the
+    targets there run; a data centre without a wait has no targets. `missing_pools` names the pools
+    that have no target in this data centre.
     """
 
     data_centre: str = ""
     workers: int = 1
-    home_waits: dict[str, float] = {}
-    home_rates: dict[str, float] = {}
-    lacks: frozenset[str] = frozenset()
+    waits_by_data_centre: dict[str, float] = {}
+    rates_by_data_centre: dict[str, float] = {}
+    missing_pools: frozenset[str] = frozenset()
 
-    def is_home(self, job: PieceJob) -> bool:
-        """Return whether nothing speaks for making a piece in another data centre."""
+    def is_local(self, job: PieceJob) -> bool:
+        """Return whether this data centre is as good as any other for a piece."""
         if job.data_centre:
             return job.data_centre == self.data_centre
-        return not self.lacks.intersection(job.next_pools)
+        return not self.missing_pools.intersection(job.reader_pools)
 
     def crossing_bytes(self, jobs: list[PieceJob]) -> int:
-        """Return what pieces of one stage move between data centres if they are made here."""
-        if self.is_home(jobs[0]):
+        """Return the bytes that cross data centres if these pieces of one stage run here."""
+        if self.is_local(jobs[0]):
             return 0
         if jobs[0].data_centre:
             return sum(job.away_bytes for job in jobs)
-        return sum(job.apart_bytes for job in jobs)
+        return sum(job.split_bytes for job in jobs)
 
-    def home_wait(self, job: PieceJob, ahead: Counter[str]) -> float:
-        """Return how long a piece waits where it is best made; inf if nobody makes it there.
+    def preferred_wait(self, job: PieceJob, ahead: Counter[str]) -> float:
+        """Return the wait in a piece's preferred data centre; inf if there is no target.
 
-        `ahead` counts the pieces that go before it in each data centre.
+        A piece that prefers no data centre gets the shortest wait of the other data centres.
+        `ahead` counts the pieces that are queued before it in each data centre.
         """
         if job.data_centre:
             return self._wait_in(job.data_centre, ahead)
-        others = [place for place in self.home_waits if place != self.data_centre]
-        return min((self._wait_in(place, ahead) for place in others), default=float("inf"))
+        other_data_centres = [
+            place for place in self.waits_by_data_centre if place != self.data_centre
+        ]
+        return min(
+            (self._wait_in(place, ahead) for place in other_data_centres), default=float("inf")
+        )
 
     def _wait_in(self, data_centre, ahead):
-        wait = self.home_waits.get(data_centre, float("inf"))
-        rate = self.home_rates.get(data_centre, float("inf"))
+        wait = self.waits_by_data_centre.get(data_centre, float("inf"))
+        rate = self.rates_by_data_centre.get(data_centre, float("inf"))
         if not ahead[data_centre]:
             return wait
         return wait + ahead[data_centre] / rate if rate > 0 else float("inf")
 
 
-def may_go(
+def may_run(
     jobs: list[PieceJob], target: FreeTarget, ahead: Counter[str], crowded: bool, now: float
 ) -> bool:
-    """Return whether a target may make the waiting pieces of one stage now.
+    """Return whether a target may run the waiting pieces of one stage now.
 
-    Results that cross data centres cost more than some waiting. Once a stage is late,
-    to let much cross helps nobody: it waits for its home, if not for too long.
+    Moving results between data centres can cost more than waiting for the preferred one. A late
+    stage with heavy results stays there unless the wait is long, since moving the results would
+    not make its request punctual.
     """
     first = jobs[0]
     if first.places and target.data_centre not in first.places:
         return False
     crossing = target.crossing_bytes(jobs)
-    wait = target.home_wait(first, ahead)
-    if not crossing or crossing <= wait * _BYTES_PER_SECOND:
+    wait = target.preferred_wait(first, ahead)
+    if not crossing or crossing <= wait * _CROSSING_BYTES_PER_SECOND:
         return True
-    if crossing < _HEAVY_BYTES:
-        return crowded or first.due < now + _PRESSING_SECONDS
-    late_anyway = first.due < now - _LOST_SECONDS
-    return not late_anyway and first.due <= now + wait + _SLACK_SECONDS
+    if crossing < _HEAVY_STAGE_BYTES:
+        return crowded or first.due < now + _URGENT_SECONDS
+    is_too_late = first.due < now - _MAX_LATENESS_SECONDS
+    return not is_too_late and first.due <= now + wait + _MIN_SLACK_SECONDS
 
 
 def take_batch(
     waiting: list[PieceJob],
     profile: BatchProfile,
-    room: float,
+    free_bytes: float,
     now: float,
     target: FreeTarget = FreeTarget(),  # noqa: B008 - it is frozen.
     started: frozenset[str] = frozenset(),
 ) -> list[PieceJob]:
-    """Return the pieces for one call of a target, within its batch and room.
-
-    The most pressing go first. While the workers of the pool have much before them,
-    no slot is left empty for the sake of a piece's data centre.
-    The pieces of a stage are begun only where there is room for all that wait of
-    it: results of half a stage would take room and be of no use. `started` names
-    the calls of which some pieces were begun; those go on first.
+    """Return the pieces for one call of a target, within its batch size and result memory.
+
+    The most urgent pieces go first. In a crowded pool the pieces that run locally move ahead of
+    others that are about as urgent, and light stages go to any data centre, so that slots do not
+    stay empty. A stage is started only if the results of all its waiting pieces fit, because the
+    results of an incomplete stage take memory and are useless. `started` holds the ids of the
+    stage calls that have some pieces started; those continue first. `room` is the free result
+    memory in bytes.
     """
     live = [job for job in waiting if job.deadline > now]
-    crowded = len(live) > profile.batch * target.workers * _CROWDED_PART
+    crowded = len(live) > profile.batch * target.workers * _CROWDED_RATIO
     ranked = sorted(live, key=lambda job: (job.call_id not in started, *order_key(job, now)))
     if crowded and target.data_centre:
-        ranked = _home_first(ranked, profile.batch, target)
+        ranked = _local_first(ranked, profile.batch, target)
     batch: list[PieceJob] = []
-    # Pieces that were left for the targets of their data centre.
+    # Pieces that were left for the targets of their preferred data centre.
     ahead: Counter[str] = Counter()
-    for jobs in _by_call(ranked):
+    for jobs in _group_by_call(ranked):
         if len(batch) == profile.batch:
             break
-        if not may_go(jobs, target, ahead, crowded, now):
+        if not may_run(jobs, target, ahead, crowded, now):
             ahead[jobs[0].data_centre] += len(jobs)
             continue
-        taken = _that_fit(jobs, profile, room, jobs[0].call_id in started)
+        taken = _jobs_that_fit(jobs, profile, free_bytes, jobs[0].call_id in started)
         taken = taken[: profile.batch - len(batch)]
-        room -= sum(job.result_bytes for job in taken)
+        free_bytes -= sum(job.result_bytes for job in taken)
         batch += taken
     return batch
 
 
-def set_apart(batch: list[PieceJob]) -> list[PieceJob]:
-    """Return the pieces of a batch that may go in one call.
+def isolate(batch: list[PieceJob]) -> list[PieceJob]:
+    """Return the pieces of a batch that may share one call.
 
-    Targets ended under a piece that goes alone, or while it was made beside others: alone it shows
-    which request did it, and takes none of the others along.
+    A target ended while it ran a piece that is marked `alone`, or pieces batched with it. Batched
+    only with its own request, such a piece shows which request ends targets, and it fails no
+    other request.
     """
     if not any(job.alone for job in batch):
         return batch
@@ -191,30 +206,30 @@
     return [job for job in batch if not job.alone]
 
 
-def _that_fit(jobs, profile, room, started):
-    """Return the pieces of one stage that may be begun with so much room."""
+def _jobs_that_fit(jobs, profile, free_bytes, started):
+    """Return the pieces of one stage that may start with `room` bytes of free result memory."""
     needed = sum(job.result_bytes for job in jobs)
-    if needed <= room:
+    if needed <= free_bytes:
         return jobs
     fits = []
-    # What no target could hold as a whole is made in parts, and what was begun is finished.
-    if started or needed > profile.room_bytes * _WHOLE_PART:
+    # A stage that fits no target as a whole runs in parts, and a started stage is finished.
+    if started or needed > profile.room_bytes * _MAX_STAGE_MEMORY_RATIO:
         for job in jobs:
-            if job.result_bytes <= room:
-                room -= job.result_bytes
+            if job.result_bytes <= free_bytes:
+                free_bytes -= job.result_bytes
                 fits.append(job)
     return fits
 
 
-def _by_call(ranked):
+def _group_by_call(ranked):
     calls: dict[str, list[PieceJob]] = {}
     for job in ranked:
         calls.setdefault(job.call_id, []).append(job)
     return calls.values()
 
 
-def _home_first(ranked, batch, target):
-    """Return the next two calls' worth of pieces with those at home here before the others."""
+def _local_first(ranked, batch, target):
+    """Move the local pieces to the front within the first two batches of `ranked`."""
     head, rest = ranked[: 2 * batch], ranked[2 * batch :]
-    head.sort(key=lambda job: not target.is_home(job))
+    head.sort(key=lambda job: not target.is_local(job))
     return head + rest
--- a/traystall/passthrough/stages/cells.py
+++ b/traystall/passthrough/stages/cells.py
@@ -21,7 +21,7 @@
 # Each pool needs so many workers for each cell, as a mean, and so many in all before any split.
 # With three workers a split in two would leave one of them alone with half of the pieces.
 _WORKERS_PER_CELL = 1.5
-_LEAST_WORKERS = 4
+_MIN_WORKERS = 4
 
 
 class Cells(msgspec.Struct, frozen=True):
@@ -56,7 +56,7 @@
     pools = list(pools)
     data_centres = sorted(set().union(*pools)) if pools else []
     groups = [(name,) for name in data_centres]
-    while len(groups) > 1 and not _are_enough(groups, pools):
+    while len(groups) > 1 and not _have_enough_workers(groups, pools):
         groups = _merge_weakest(groups, pools)
     if len(groups) < 2:
         return Cells()
@@ -85,23 +85,23 @@
     compared with the others, hands on what is above its part: by the name of the
     request, alike at every gateway.
     """
-    asked = _shares(engines, cells)
-    able = _capacity_shares(pools, cells)
-    if not asked or not able or able[home] >= asked[home]:
+    demand = _worker_shares(engines, cells)
+    capacity = _capacity_shares(pools, cells)
+    if not demand or not capacity or capacity[home] >= demand[home]:
         return home
     drawn = xxhash.xxh64_intdigest(f"cell {request_id}".encode()) / 2**64
-    kept = able[home] / asked[home]
+    kept = capacity[home] / demand[home]
     if drawn < kept:
         return home
-    left = (drawn - kept) / (1 - kept) * sum(max(0.0, able[n] - asked[n]) for n in able)
-    for name in able:
-        left -= max(0.0, able[name] - asked[name])
+    left = (drawn - kept) / (1 - kept) * sum(max(0.0, capacity[n] - demand[n]) for n in capacity)
+    for name in capacity:
+        left -= max(0.0, capacity[name] - demand[name])
         if left < 0:
             return name
     return home
 
 
-def _shares(counts, cells) -> dict[str, float]:
+def _worker_shares(counts, cells) -> dict[str, float]:
     """Return the part of `counts` that each cell has; nothing if no cell has any."""
     found = {name: _workers_in(inside, counts) for name, inside in cells.members.items()}
     whole = sum(found.values())
@@ -110,7 +110,7 @@
 
 def _capacity_shares(pools, cells) -> dict[str, float]:
     """Return the part of the work that each cell can take, by the pool that it has least of."""
-    by_pool = [_shares(workers, cells) for workers in pools]
+    by_pool = [_worker_shares(workers, cells) for workers in pools]
     if not by_pool or not all(by_pool):
         return {}
     least = {name: min(shares[name] for shares in by_pool) for name in cells.members}
@@ -128,10 +128,10 @@
     return rendezvous_order(request_id, left)[0] if left else WHOLE
 
 
-def _are_enough(groups, pools):
+def _have_enough_workers(groups, pools):
     """Return whether every pool has workers in each group, and enough for so many groups."""
     for workers in pools:
-        if workers.total() < max(_LEAST_WORKERS, _WORKERS_PER_CELL * len(groups)):
+        if workers.total() < max(_MIN_WORKERS, _WORKERS_PER_CELL * len(groups)):
             return False
         if any(not _workers_in(group, workers) for group in groups):
             return False
@@ -143,11 +143,11 @@
 
     The other is the next weakest that has workers of every pool, a small one before a large.
     """
-    weakest = min(groups, key=lambda group: (_scarcest(group, pools), group))
+    weakest = min(groups, key=lambda group: (_smallest_share(group, pools), group))
     others = [group for group in groups if group != weakest]
 
     def weakness(group):
-        found = _scarcest(group, pools)
+        found = _smallest_share(group, pools)
         return (not found, found, len(group), group)
 
     partner = min(others, key=weakness)
@@ -155,7 +155,7 @@
     return [tuple(sorted(weakest + partner)), *kept]
 
 
-def _scarcest(group, pools):
+def _smallest_share(group, pools):
     """Return the least part of a pool's workers that a group has."""
     return min(_workers_in(group, workers) / max(1, workers.total()) for workers in pools)
 
--- a/traystall/passthrough/stages/chain.py
+++ b/traystall/passthrough/stages/chain.py
@@ -10,9 +10,9 @@
 from traystall.rpc.gen.wire.ttypes import StageRequest
 
 # The reason of a piece whose inputs are lost.
-GONE = "gone"
+INPUTS_LOST = "gone"
 # The part of the learned difference between two chains that the shorter one waits.
-_DELAY_SHARE = 0.7
+_DELAY_RATIO = 0.7
 
 
 class StageFailed(GatewayError):
@@ -113,18 +113,18 @@
         for life in reply.ended or ():
             self._context.guard.ended(passed.guarded, plan.pool, life, REFUSED)
         if all(reply.handles):
-            self._note_made(index, clock.monotonic() - began, reply)
+            self._record_stage(index, clock.monotonic() - began, reply)
             self._context.learn_stage(plan.pool, clock.monotonic() - began)
         self._handles[index] = [handle for handle in reply.handles if handle]
         if len(self._handles[index]) < count:
             reasons = sorted({reason for reason in reply.reasons if reason})
             detail = f"Stage {index} was not made: {', '.join(reasons)}."
-            if GONE in reasons:
+            if INPUTS_LOST in reasons:
                 raise InputsGone(detail)
             raise StageFailed(detail, reply.retry_after)
-        self._free_read(index)
+        self._free_consumed(index)
 
-    def _note_made(self, index, seconds, reply):
+    def _record_stage(self, index, seconds, reply):
         """Note how long a stage took, for the log; a request that was refused made none."""
         if reply.handles:
             made = MadeStage(index, seconds, reply.waited or 0.0, reply.called or 0.0)
@@ -144,7 +144,7 @@
             ),
             default=0.0,
         )
-        return max(0.0, longest - self._seconds_from(index, learned)) * _DELAY_SHARE
+        return max(0.0, longest - self._seconds_from(index, learned)) * _DELAY_RATIO
 
     def _seconds_to_start(self, index) -> float:
         """Return when this stage should begin so that the request can still be in time."""
@@ -162,7 +162,7 @@
         later = [i for i, stage in enumerate(route.stages) if index in stage.after]
         return own + max((self._seconds_from(i, seconds_of) for i in later), default=0.0)
 
-    def _free_read(self, index):
+    def _free_consumed(self, index):
         """Give up the results that only finished stages read."""
         stages = self._passed.route.stages
         for earlier in stages[index].after:
--- a/traystall/passthrough/stages/homes.py
+++ b/traystall/passthrough/stages/locality.py
@@ -17,7 +17,7 @@
 _LIGHT_STAGE_BYTES = 100_000
 
 
-class StageHome(msgspec.Struct, frozen=True):
+class StageLocality(msgspec.Struct, frozen=True):
     """Say where a stage is best made (empty: anywhere) and what crosses for each piece if not.
 
     `away_bytes` cross if a piece is made outside `data_centre`, `apart_bytes` if it
@@ -27,17 +27,17 @@
 
     data_centre: str = ""
     away_bytes: int = 0
-    apart_bytes: int = 0
-    next_pools: tuple[str, ...] = ()
+    split_bytes: int = 0
+    reader_pools: tuple[str, ...] = ()
 
 
-def home_of_stage(
+def stage_locality(
     stages: tuple[StagePlan, ...],
     counts: list[int],
     index: int,
     input_bytes: Counter[str],
     read_at: str,
-) -> StageHome:
+) -> StageLocality:
     """Return where stage `index` is best made.
 
     `input_bytes` are what each of its pieces reads, by the data centre where it
@@ -48,9 +48,9 @@
     crossing = Counter(input_bytes)
     if not readers and read_at:
         crossing[read_at] += own
-    apart = own * sum(counts[i] for i in readers)
+    split = own * sum(counts[i] for i in readers)
     pools = tuple(sorted({stages[i].pool for i in readers}))
-    home, away = max(crossing.items(), key=lambda item: (item[1], item[0]), default=("", 0))
+    preferred, away = max(crossing.items(), key=lambda item: (item[1], item[0]), default=("", 0))
     if away * counts[index] < _LIGHT_STAGE_BYTES:
-        home, away = "", 0
-    return StageHome(home, away, apart, pools)
+        preferred, away = "", 0
+    return StageLocality(preferred, away, split, pools)
--- a/traystall/passthrough/stages/pace.py
+++ b/traystall/passthrough/stages/pace.py
@@ -9,7 +9,7 @@
 
 # The part of an even distance that calls keep: at the whole of it targets would stand idle
 # whenever calls grow shorter, and less of what a crowd asks would be made.
-_DISTANCE_PART = 0.8
+_SPACING_RATIO = 0.8
 
 
 def begins_at(
@@ -22,4 +22,4 @@
     """
     if waiting >= batch or targets < 2:
         return float("-inf")
-    return last_began + _DISTANCE_PART * call_seconds / targets
+    return last_began + _SPACING_RATIO * call_seconds / targets
--- a/traystall/passthrough/stages/piece_calls.py
+++ b/traystall/passthrough/stages/piece_calls.py
@@ -13,9 +13,9 @@
 UNREACHABLE = "unreachable"
 FULL = "full"
 # A call is given up after this many times what it should take, and this many seconds more.
-_PATIENCE = 6.0
-_PATIENCE_SECONDS = 0.5
-_PAUSE_SECONDS = 0.05
+_TIMEOUT_FACTOR = 6.0
+_TIMEOUT_MARGIN_SECONDS = 0.5
+_REFUSAL_PAUSE_SECONDS = 0.05
 _MISDIRECTED = 421
 
 
@@ -26,7 +26,7 @@
     now = clock.monotonic()
     call = context.stage_dialect.run([_to_order(job, now) for job in batch])
     headers = {context.names.expected_incarnation: view.identity}
-    async with asyncio.timeout(expected * _PATIENCE + _PATIENCE_SECONDS):
+    async with asyncio.timeout(expected * _TIMEOUT_FACTOR + _TIMEOUT_MARGIN_SECONDS):
         async with Attempt(view, context.names, None) as attempt:
             await attempt.open(float("inf"))
             attempt.send(request_bytes(call, view.report.address, headers))
@@ -34,7 +34,7 @@
     if attempt.has_not_run():
         if answer.head.status == _MISDIRECTED:
             view.is_misplaced = True
-        view.avoid_until = max(view.avoid_until, clock.monotonic() + _PAUSE_SECONDS)
+        view.avoid_until = max(view.avoid_until, clock.monotonic() + _REFUSAL_PAUSE_SECONDS)
         return [PieceResult(reason=FULL)] * len(batch)
     if answer.head.status != 200:
         raise NoAnswer(f"The target answered {answer.head.status}.", sent=True)
--- a/traystall/passthrough/stages/piece_queue.py
+++ b/traystall/passthrough/stages/piece_queue.py
@@ -1,4 +1,8 @@
-"""Pieces that wait for the targets of one pool, and who waits for them."""
+"""Queue the pieces of one pool and dispatch them in batches to the pool's targets.
+
+A worker is this gateway's record of one target that runs pieces. A queue belongs to a cell, a group
+of data centres whose pieces one gateway batches.
+"""
 
 import asyncio
 import math
@@ -10,41 +14,42 @@
 from traystall.passthrough.admission.forecast import PoolLoad
 from traystall.passthrough.dialect import PieceResult
 from traystall.passthrough.exceptions import ConnectionBroken, ExchangeError, TargetHeldBack
-from traystall.passthrough.stages.batching import FreeTarget, PieceJob, set_apart, take_batch
+from traystall.passthrough.stages.batching import FreeTarget, PieceJob, isolate, take_batch
 from traystall.passthrough.stages.cells import WHOLE
-from traystall.passthrough.stages.homes import StageHome
+from traystall.passthrough.stages.locality import StageLocality
 from traystall.passthrough.stages.pace import begins_at
 from traystall.passthrough.stages.piece_calls import FULL, UNREACHABLE, call_worker
-from traystall.passthrough.stages.room_watch import RoomWatch
-from traystall.passthrough.stages.stage_call import MOST_ENDS, StageCall, to_job
+from traystall.passthrough.stages.result_memory_watch import ResultMemoryWatch
+from traystall.passthrough.stages.stage_call import MAX_TARGET_ENDS, StageCall, to_job
 from traystall.passthrough.stages.worker_rates import rate_of_workers
 from traystall.passthrough.stages.workers import SLOW_RATIO, Worker, overdue_after
 from traystall.routes.models import BatchProfile
 from traystall.rpc.gen.wire.ttypes import StageReply, StageRequest
 
-# Reasons of a target for a piece that is worth asking for again.
+# Reasons for which a target returns no result although a retry can succeed.
 _BUSY_REASONS = ("room", FULL)
-_PASSING_REASONS = (*_BUSY_REASONS, "error")
+_RETRYABLE_REASONS = (*_BUSY_REASONS, "error")
 _MAX_TRIES = 4
-_PAUSE_SECONDS = 0.05
-_SOON_SECONDS = 0.02
-# The reason of pieces under which targets ended.
-ENDED = "ended"
-# The reason of pieces whose targets have all asked for rest beyond their deadline.
+_REFUSAL_PAUSE_SECONDS = 0.05
+_REDISPATCH_SECONDS = 0.02
+# The reason of pieces whose request has ended too many targets.
+TARGET_ENDED = "ended"
+# The reason of pieces whose targets have all requested a backoff that ends after the deadline.
 RESTING = "resting"
-# A queue this young, in seconds, does not know what its targets still do for another gateway.
-_SETTLED_SECONDS = 2.0
-# Every request that waits to be let in asks how fast a pool is; it is worked out so often, in
-# seconds: a tenth of the shortest calls.
-_RATE_SECONDS = 0.015
-# Weight of the newest call in how long calls take.
-_CALL_LEARNING = 0.1
+# A queue younger than this may have taken over from another gateway, whose calls still occupy the
+# targets.
+_TAKEOVER_SECONDS = 2.0
+# Each request that waits for admission polls the rate of a pool, so the computed rate is reused for
+# this long: a tenth of the shortest calls.
+_RATE_CACHE_SECONDS = 0.015
+# Weight of the newest call in the moving average of call durations.
+_CALL_SECONDS_WEIGHT = 0.1
 
 
 class PieceQueue:
-    """Hand the pieces of one pool to its targets, as many at a time as each takes.
+    """Dispatch the pieces of one pool to its targets in batches.
 
-    In a cell only the targets of its data centres are called, as long as there are any.
+    A queue of a cell calls targets outside the cell's data centres only if the cell has none.
     """
 
     def __init__(self, context, pool: str, cell: str = WHOLE):
@@ -56,30 +61,33 @@
         self._workers: dict[str, Worker] = {}
         self._tasks: set[asyncio.Task] = set()
         self._timer: asyncio.TimerHandle | None = None
-        self._is_pumping = False
-        self._since = clock.monotonic()
-        self._room_watch = RoomWatch(context, self.pump)
-        # Requests whose pieces go alone and are under way: of each one call at a time.
-        self._alone: set[str] = set()
-        # How fast the pool is, as it was worked out a moment ago.
+        self._is_dispatch_scheduled = False
+        self._created_at = clock.monotonic()
+        self._memory_watch = ResultMemoryWatch(context, self.pump)
+        # Requests with isolated pieces in flight; each of them has at most one call at a time.
+        self._isolated_requests: set[str] = set()
+        # The cached rate of the pool in pieces per second, and when it was computed.
         self._rate = 0.0
         self._rated_at = float("-inf")
-        # How long calls take lately, 0 before the first one.
+        # Moving average of call durations in seconds; 0 before the first call.
         self._call_seconds = 0.0
         self._last_began = float("-inf")
 
-    async def run(self, request: StageRequest, home: StageHome) -> StageReply:
-        """Return once all pieces of a call are made, or it is clear that they won't be."""
+    async def run(self, request: StageRequest, locality: StageLocality) -> StageReply:
+        """Return the results of a stage once all its pieces have run, one failed, or time is up."""
         now = clock.monotonic()
         count = len(request.pieces)
         done = asyncio.get_running_loop().create_future()
         call = StageCall(
-            [""] * count, [""] * count, done, most_ends=1 if request.alone else MOST_ENDS
+            [""] * count,
+            [""] * count,
+            done,
+            max_target_ends=1 if request.alone else MAX_TARGET_ENDS,
         )
-        call.asked_at = now
+        call.requested_at = now
         self._calls[request.call_id] = call
         self._context.budget(self._pool).on_request(now)
-        self._waiting += [to_job(request, home, piece, now) for piece in request.pieces]
+        self._waiting += [to_job(request, locality, piece, now) for piece in request.pieces]
         self.pump()
         try:
             async with asyncio.timeout(max(0.0, request.seconds_left)):
@@ -98,12 +106,12 @@
         )
 
     def cancel(self, call_id: str) -> None:
-        """Drop the pieces of a call that wait; what is being made goes on and is given up."""
+        """Drop the waiting pieces of a stage call; results of pieces in flight are freed later."""
         self._calls.pop(call_id, None)
         self._waiting = [job for job in self._waiting if job.call_id != call_id]
 
     def freed(self, handles: list[str]) -> None:
-        """Take in that results were given up, and use the room."""
+        """Count the memory of freed results as available and dispatch waiting pieces."""
         for handle in handles:
             worker = self._workers.get(self._context.stage_dialect.worker(handle))
             if worker is not None:
@@ -111,22 +119,22 @@
         self.pump()
 
     def is_busy(self) -> bool:
-        """Return whether somebody waits for pieces of this queue."""
+        """Return whether any stage call waits for pieces of this queue."""
         return bool(self._calls)
 
     def load(self, now: float) -> PoolLoad:
-        """Return how this pool is now, for forecasts."""
+        """Return the current load of this pool for forecasts."""
         profile = self._profile()
         usual = profile.seconds(profile.batch) if profile else 0.0
-        if now - self._rated_at > _RATE_SECONDS:
+        if now - self._rated_at > _RATE_CACHE_SECONDS:
             self._rated_at = now
             self._rate = self.rate(now)
         return PoolLoad(self.waiting, self._rate, self._call_seconds or usual)
 
     def waiting(self, priority: int, due: float = math.inf) -> int:
-        """Return how many pieces wait that go before new work of a priority.
+        """Return how many waiting pieces go before new work of a priority.
 
-        Of what is as urgent only that counts which should begin until `due`.
+        Pieces of the same priority count only if they are due by `due`.
         """
         return sum(
             1
@@ -135,78 +143,85 @@
         )
 
     def rate(self, now: float) -> float:
-        """Return how many pieces a second the pool makes with full calls; 0 without targets."""
+        """Return how many pieces per second the pool runs with full calls; 0 without targets."""
         profile = self._profile()
         if profile is None:
             return 0.0
         return self._rate_of(self._usable(closed_too=True), profile, now)
 
     def pump(self) -> None:
-        """Give every free target its next call, once for all that happens in a turn of the loop.
+        """Schedule the next call of every free target, once per iteration of the event loop.
 
-        Each look costs 1 to 4 ms with 500 to 2,000 pieces waiting; in a burst there are
-        hundreds of requests, results and releases a second.
+        One dispatch takes 1 to 4 ms with 500 to 2,000 pieces waiting, and a burst brings hundreds
+        of requests, results and released results per second.
         """
-        if not self._is_pumping:
-            self._is_pumping = True
-            asyncio.get_running_loop().call_soon(self._pump_now)
+        if not self._is_dispatch_scheduled:
+            self._is_dispatch_scheduled = True
+            asyncio.get_running_loop().call_soon(self._dispatch_now)
 
-    def _pump_now(self):
-        self._is_pumping = False
+    def _dispatch_now(self):
+        self._is_dispatch_scheduled = False
         profile = self._profile()
         if profile is None or not self._waiting:
             return
         now = clock.monotonic()
-        self._give_up_at_rest(now)
-        free = self._free_workers(profile, now)
+        self._fail_beyond_backoff(now)
+        free = self._available_workers(profile, now)
         if not free:
-            self._pump_later()
+            self._dispatch_later()
             return
-        home_waits, home_rates = self._home_waits(profile, now), self._home_rates(profile, now)
+        waits, rates = (
+            self._waits_by_data_centre(profile, now),
+            self._rates_by_data_centre(profile, now),
+        )
         workers = len(self._usable())
         for view, worker in free:
-            wait = self._pace_wait(profile, workers, now)
+            wait = self._pacing_delay(profile, workers, now)
             if wait > 0.0:
-                self._pump_later(wait)
+                self._dispatch_later(wait)
                 return
-            room = profile.room_bytes * worker.book.share - worker.book.taken(now)
-            place = view.report.data_centre
-            target = FreeTarget(place, workers, home_waits, home_rates, self._lacks(place))
+            free_bytes = profile.room_bytes * worker.book.share - worker.book.taken(now)
+            data_centre = view.report.data_centre
+            target = FreeTarget(
+                data_centre, workers, waits, rates, self._missing_pools(data_centre)
+            )
             started = frozenset(name for name, call in self._calls.items() if call.started)
-            waiting = [job for job in self._waiting if job.request_id not in self._alone]
-            batch = set_apart(take_batch(waiting, profile, room, now, target, started))
+            waiting = [
+                job for job in self._waiting if job.request_id not in self._isolated_requests
+            ]
+            batch = isolate(take_batch(waiting, profile, free_bytes, now, target, started))
             if batch:
-                self._begin(view, worker, batch, profile, now)
+                self._start_call(view, worker, batch, profile, now)
         if self._waiting:
-            self._pump_later()
+            self._dispatch_later()
 
-    def _pace_wait(self, profile, workers, now) -> float:
-        """Return how long the next call is kept back for the sake of an even pace, in seconds."""
+    def _pacing_delay(self, profile, workers, now) -> float:
+        """Return how long the next call is delayed so that calls are evenly spaced, in seconds."""
         if self._pool not in self._context.shared_pools():
             return 0.0
-        # Calls of slow targets last longer, but the others shall not stand idle for them.
+        # Calls of slow targets take longer, but must not keep the other targets idle.
         usual = min(self._call_seconds or profile.seconds(1), profile.seconds(profile.batch))
         waiting = len(self._waiting)
         return begins_at(self._last_began, usual, workers, waiting, profile.batch) - now
 
-    def _give_up_at_rest(self, now):
-        """Answer at once who waits for pieces whose targets all rest until it is too late."""
+    def _fail_beyond_backoff(self, now):
+        """Fail stage calls early if the backoff of all their targets ends after the deadline."""
         if not any(view.asked.rests(now) for view in self._context.board.pool(self._pool)):
             return
         places = {job.places for job in self._waiting}
-        rests = {named: self._context.rest_left(self._pool, named) for named in places}
+        backoffs = {named: self._context.rest_left(self._pool, named) for named in places}
         for job in self._waiting:
             call = self._calls.get(job.call_id)
-            rest = rests[job.places]
-            if call is not None and rest and now + rest > job.deadline:
-                call.retry_after = self._context.after_rest(rest)
+            backoff = backoffs[job.places]
+            if call is not None and backoff and now + backoff > job.deadline:
+                call.retry_after = self._context.after_rest(backoff)
                 call.close(job.piece, "", RESTING)
 
     def _usable(self, closed_too=False):
-        """Return the targets that may be called; those of other cells only if it has none.
+        """Return the targets that may be called: those of the cell, or of all cells if it has none.
 
-        One that takes no more for a moment is still there: its cell waits for it, rather than call
-        what another one calls.
+        A target whose rate limit is used up for the moment still counts as a target of its cell:
+        the cell waits for it instead of calling targets of other cells.
         """
         context, pool = self._context, self._pool
         inside = context.cells().data_centres(self._cell)
@@ -214,7 +229,7 @@
         return context.usable(pool, places, closed_too)
 
     def _rate_of(self, views, profile, now):
-        """Return how many pieces a second targets make with the calls that they take."""
+        """Return how many pieces per second targets run, within their rate limits."""
         return rate_of_workers(
             [(self._worker(view), view.limit.per_second) for view in views], profile, now
         )
@@ -226,78 +241,80 @@
     def _worker(self, view) -> Worker:
         return self._workers.setdefault(view.report.address, Worker())
 
-    def _home_waits(self, profile, now) -> dict[str, float]:
-        """Return for each data centre how long its next target is still at work."""
+    def _waits_by_data_centre(self, profile, now) -> dict[str, float]:
+        """Return for each data centre the seconds until its next target is free."""
         waits: dict[str, float] = {}
         for view in self._usable():
             wait = self._worker(view).wait(profile.slots, now)
-            place = view.report.data_centre
-            waits[place] = min(wait, waits.get(place, wait))
+            data_centre = view.report.data_centre
+            waits[data_centre] = min(wait, waits.get(data_centre, wait))
         return waits
 
-    def _home_rates(self, profile, now) -> dict[str, float]:
-        """Return for each data centre how many pieces a second its targets make."""
+    def _rates_by_data_centre(self, profile, now) -> dict[str, float]:
+        """Return for each data centre how many pieces per second its targets run."""
         found: dict[str, list] = {}
         for view in self._usable(closed_too=True):
             found.setdefault(view.report.data_centre, []).append(view)
-        return {place: self._rate_of(views, profile, now) for place, views in found.items()}
+        return {
+            data_centre: self._rate_of(views, profile, now) for data_centre, views in found.items()
+        }
 
-    def _lacks(self, data_centre) -> frozenset[str]:
-        """Return the pools that will read results and have no target in a data centre."""
-        pools = {name for job in self._waiting for name in job.next_pools}
+    def _missing_pools(self, data_centre) -> frozenset[str]:
+        """Return the pools that read results of waiting pieces and lack targets in a data centre."""
+        pools = {name for job in self._waiting for name in job.reader_pools}
         return frozenset(
             name
             for name in pools
             if all(v.report.data_centre != data_centre for v in self._context.usable(name))
         )
 
-    def _free_workers(self, profile, now):
+    def _available_workers(self, profile, now):
         """Return the targets to call now, the fastest first."""
         known = [(view, self._worker(view)) for view in self._usable()]
         for view, worker in known:
-            self._room_watch.review(view, worker, profile, now)
-        sound = sum(1 for _, worker in known if worker.ratio < SLOW_RATIO)
+            self._memory_watch.review(view, worker, profile, now)
+        healthy = sum(1 for _, worker in known if worker.ratio < SLOW_RATIO)
         batches_for_all = self._context.batching_owner(self._cell) is None
         free = [
             (view, worker)
             for view, worker in known
             if worker.calls < profile.slots
-            and now >= max(view.avoid_until, worker.wait_until)
+            and now >= max(view.avoid_until, worker.memory_wait_until)
             and self._context.cold.may_send(view, for_all=batches_for_all)
-            and worker.is_worth_calling(profile, len(self._waiting), sound, now)
+            and worker.is_worth_calling(profile, len(self._waiting), healthy, now)
         ]
         return sorted(free, key=lambda pair: (pair[1].ratio, pair[0].identity))
 
-    def _begin(self, view, worker, batch, profile, now):
-        taken = set(map(id, batch))
-        self._waiting = [job for job in self._waiting if id(job) not in taken]
-        self._keep_together(batch, view.report.data_centre)
+    def _start_call(self, view, worker, batch, profile, now):
+        batched_ids = set(map(id, batch))
+        self._waiting = [job for job in self._waiting if id(job) not in batched_ids]
+        self._pin_to_data_centre(batch, view.report.data_centre)
         if batch[0].alone:
-            self._alone.add(batch[0].request_id)
+            self._isolated_requests.add(batch[0].request_id)
         for job in batch:
             if job.call_id in self._calls:
                 self._calls[job.call_id].started = True
         size = sum(job.result_bytes for job in batch)
         self._last_began = now
-        # Counted here, not in the task: until that runs the target would look free.
+        # Counted here and not in the task, because the target would look free until the task runs.
         worker.began(now, size, profile.seconds(len(batch)))
         self._context.cold.note_sent(view)
-        self._spawn(self._call(view, worker, batch, profile, size))
+        self._spawn(self._run_call(view, worker, batch, profile, size))
 
-    def _keep_together(self, batch, data_centre):
-        """Bind what waits of the stages in a batch to the data centre where they were begun."""
-        begun = {job.call_id for job in batch if job.apart_bytes}
+    def _pin_to_data_centre(self, batch, data_centre):
+        """Prefer the data centre of a started stage for its waiting pieces."""
+        started_calls = {job.call_id for job in batch if job.split_bytes}
         for job in self._waiting:
-            if job.call_id in begun:
+            if job.call_id in started_calls:
                 job.data_centre = data_centre
-                job.away_bytes = max(job.away_bytes, job.apart_bytes)
+                job.away_bytes = max(job.away_bytes, job.split_bytes)
 
-    async def _call(self, view, worker, batch, profile, size):
+    async def _run_call(self, view, worker, batch, profile, size):
         began = clock.monotonic()
         expected = profile.seconds(len(batch))
-        settled = clock.monotonic() - self._since > _SETTLED_SECONDS
-        hedge = asyncio.get_running_loop().call_later(
-            overdue_after(expected, settled), self._ask_elsewhere, view, worker, batch, expected
+        is_settled = clock.monotonic() - self._created_at > _TAKEOVER_SECONDS
+        hedge_timer = asyncio.get_running_loop().call_later(
+            overdue_after(expected, is_settled), self._send_hedge, view, worker, batch, expected
         )
         try:
             results = await call_worker(self._context, view, batch, expected)
@@ -306,28 +323,29 @@
             seconds = now - began
             worker.learn(seconds, expected)
             view.on_success(seconds, now)
-            self._call_seconds += _CALL_LEARNING * (seconds - (self._call_seconds or seconds))
+            self._call_seconds += _CALL_SECONDS_WEIGHT * (seconds - (self._call_seconds or seconds))
             self._call_seconds = self._call_seconds or seconds
         except TargetHeldBack:
-            # Nothing was sent and nothing learned: they wait on.
+            # Nothing was sent, so the pieces go back to the queue without counting a retry.
             results = [PieceResult(reason=UNREACHABLE)] * len(batch)
         except ExchangeError as error:
             self._context.board.on_exchange_error(view, error, clock.monotonic())
             reason = "error" if error.sent else UNREACHABLE
             results = [PieceResult(reason=reason)] * len(batch)
             decision("pieces-failed", target=view.identity, why=error.reason)
-            # They are asked elsewhere below, if at all: a copy now would end another worker.
-            hedge.cancel()
-            await self._look_into_end(view, batch, error)
+            # The pieces are retried below, if at all. A hedge sent before the check below could
+            # end another target.
+            hedge_timer.cancel()
+            await self._check_target_end(view, batch, error)
         except TimeoutError:
             view.on_failure(clock.monotonic(), self._context.random)
             results = [PieceResult(reason="error")] * len(batch)
             decision("pieces-failed", target=view.identity, why="no answer in time")
         finally:
-            hedge.cancel()
+            hedge_timer.cancel()
             worker.ended(size)
-            self._alone.discard(batch[0].request_id)
-        self._settle(view, worker, batch, results, profile, began)
+            self._isolated_requests.discard(batch[0].request_id)
+        self._record_results(view, worker, batch, results, profile, began)
         decision(
             "pieces",
             pool=self._pool,
@@ -340,13 +358,14 @@
         )
         self.pump()
 
-    async def _look_into_end(self, view, batch, error):
-        """Note the end of a target under the pieces that it made; they are made alone from now on.
+    async def _check_target_end(self, view, batch, error):
+        """Check whether a target ended while it ran a batch; if so, isolate the batch's requests.
 
-        Who asked for them tells everybody: only there the whole request is known.
+        The gateway that sent the stage request reports the end to all gateways, since only that
+        gateway knows the whole request.
         """
-        broke = isinstance(error, ConnectionBroken) and error.sent and not error.silent
-        if not broke or not view.is_ready:
+        connection_broke = isinstance(error, ConnectionBroken) and error.sent and not error.silent
+        if not connection_broke or not view.is_ready:
             return
         target = view.watched(lambda: self._context.board.sign_of_end(view))
         if not await self._context.guard.ends.has_ended(target):
@@ -358,15 +377,15 @@
             if target.life not in call.ended:
                 call.ended = [*call.ended, target.life]
 
-    def _ask_elsewhere(self, view, worker, batch, expected):
-        """Ask for the pieces of an overdue call again; the first result of each counts."""
+    def _send_hedge(self, view, worker, batch, expected):
+        """Queue copies of the pieces of an overdue call; the first result of each piece counts."""
         worker.learn(overdue_after(expected, True), expected)
-        copies = [
+        hedges = [
             msgspec.structs.replace(job, tries=job.tries + 1)
             for job in batch
             if self._is_open(job) and job.tries < _MAX_TRIES
         ]
-        allowed = [job for job in copies if self._may_repeat()]
+        allowed = [job for job in hedges if self._may_repeat()]
         if allowed:
             decision("pieces-overdue", target=view.identity, pieces=len(allowed))
             self._waiting += allowed
@@ -376,7 +395,7 @@
         call = self._calls.get(job.call_id)
         return call is not None and not call.handles[job.piece]
 
-    def _settle(self, view, worker, batch, results, profile, began):
+    def _record_results(self, view, worker, batch, results, profile, began):
         now = clock.monotonic()
         unused = []
         for job, result in zip(batch, results, strict=True):
@@ -386,33 +405,34 @@
                 unused += [result.handle] if result.handle else []
             elif result.handle:
                 call = self._calls[job.call_id]
-                call.waited, call.called = began - call.asked_at, now - began
+                call.waited, call.called = began - call.requested_at, now - began
                 call.close(job.piece, result.handle, "")
-            elif self._ends_too_many(job):
-                self._calls[job.call_id].close(job.piece, "", ENDED)
-            elif not self._try_again(job, result.reason, now):
+            elif self._has_ended_too_many_targets(job):
+                self._calls[job.call_id].close(job.piece, "", TARGET_ENDED)
+            elif not self._retry(job, result.reason, now):
                 self._calls[job.call_id].close(job.piece, "", result.reason)
         if any(result.reason == "room" for result in results):
             worker.book.on_refused()
-            worker.is_room_known = False
-            view.avoid_until = max(view.avoid_until, now + _PAUSE_SECONDS)
+            worker.is_memory_known = False
+            view.avoid_until = max(view.avoid_until, now + _REFUSAL_PAUSE_SECONDS)
         else:
             worker.book.on_taken()
         if unused:
             self._context.batcher.free(self._pool, unused)
 
-    def _ends_too_many(self, job) -> bool:
+    def _has_ended_too_many_targets(self, job) -> bool:
         call = self._calls[job.call_id]
-        return len(call.ended) >= call.most_ends
+        return len(call.ended) >= call.max_target_ends
 
-    def _try_again(self, job, reason, now) -> bool:
+    def _retry(self, job, reason, now) -> bool:
         if reason == UNREACHABLE:
             self._waiting.append(job)
             return True
         if reason not in _BUSY_REASONS:
-            # A refusal for want of room or of a slot costs the worker nothing and may come often.
+            # A refusal for lack of memory or of a slot costs the target nothing and may recur, so
+            # it does not count as a try.
             job.tries += 1
-        if reason not in _PASSING_REASONS or job.tries >= _MAX_TRIES or now >= job.deadline:
+        if reason not in _RETRYABLE_REASONS or job.tries >= _MAX_TRIES or now >= job.deadline:
             return False
         if not self._may_repeat():
             return False
@@ -422,7 +442,7 @@
     def _may_repeat(self) -> bool:
         return self._context.may_repeat_batched(self._pool, self._cell)
 
-    def _pump_later(self, seconds=_SOON_SECONDS):
+    def _dispatch_later(self, seconds=_REDISPATCH_SECONDS):
         loop = asyncio.get_running_loop()
         if self._timer is not None:
             if self._timer.when() <= loop.time() + seconds:
--- a/traystall/passthrough/stages/releases.py
+++ b/traystall/passthrough/stages/releases.py
@@ -18,15 +18,15 @@
 _CALL_TIMEOUT = 1.0
 # A worker that has not answered is told again after a pause, in seconds: with the time-outs
 # these outlast the four seconds for which the pages' workers keep a result.
-_MORE_TRIES = 3
+_MAX_RETRIES = 3
 # Results whose worker takes no call for them are collected so long at least, in seconds.
-_HELD_BACK_SECONDS = 0.5
-_PAUSE_SECONDS = 0.2
+_MIN_HELD_BACK_SECONDS = 0.5
+_RETRY_PAUSE_SECONDS = 0.2
 
 logger = logging.getLogger(__name__)
 
 
-class Releases:
+class ResultReleases:
     """Hold the results that are to be given up, and where the room of each is counted.
 
     Who batched the pieces is told, whoever batches now: it counts the room of their results.
@@ -39,15 +39,15 @@
         self,
         context: PassContext,
         links: LinkPool,
-        count_here: Callable[[str, list[str]], None],
+        free_locally: Callable[[str, list[str]], None],
     ):
         self._context = context
         self._links = links
         # Takes in the pool and handles of results that this gateway itself has counted.
-        self._count_here = count_here
+        self._free_locally = free_locally
         self._waiting: dict[tuple[str, str], list[str]] = {}
         # The links' address of the gateway that batched a result, unless it is this one.
-        self._counted_at: dict[str, str] = {}
+        self._batcher_addresses: dict[str, str] = {}
         # Since when results wait that their worker takes no call for.
         self._held_back_since: dict[str, float] = {}
         self._tasks: set[asyncio.Task] = set()
@@ -56,12 +56,12 @@
         """Note that the gateway at `address` has batched the pieces of some results."""
         for handle in handles:
             if handle:
-                self._counted_at[handle] = address
+                self._batcher_addresses[handle] = address
 
-    def give_up(self, pool: str, handles: list[str]) -> None:
+    def release(self, pool: str, handles: list[str]) -> None:
         """Give results of a pool up, soon and many at a time."""
         if not self._waiting:
-            self._spawn(self._send_soon())
+            self._spawn(self._flush_soon())
         for handle in handles:
             worker = self._context.stage_dialect.worker(handle)
             self._waiting.setdefault((pool, worker), []).append(handle)
@@ -71,7 +71,7 @@
         for task in self._tasks:
             task.cancel()
 
-    async def _send_soon(self):
+    async def _flush_soon(self):
         await asyncio.sleep(_COLLECT_SECONDS)
         batches, self._waiting = self._waiting, {}
         for (pool, worker), handles in batches.items():
@@ -83,25 +83,25 @@
         A worker that did not answer has mostly heard it all the same; it is told again to be sure.
         """
         view = self._context.board.at_address(worker)
-        if view is not None and not await self._outlast_rest(view, pool):
+        if view is not None and not await self._wait_out_backoff(view, pool):
             for handle in handles:
-                self._counted_at.pop(handle, None)
+                self._batcher_addresses.pop(handle, None)
             return
         try:
             # A worker that is gone holds nothing.
             if view is not None and not await self._call(view, worker, handles):
-                self._spawn(self._call_again(view, worker, handles))
+                self._spawn(self._retry_call(view, worker, handles))
         except TargetHeldBack:
-            await self._give_up_later(pool, handles, view)
+            await self._release_later(pool, handles, view)
             return
         counted: dict[str, list[str]] = {}
         for handle in handles:
             self._held_back_since.pop(handle, None)
-            counted.setdefault(self._counted_at.pop(handle, ""), []).append(handle)
+            counted.setdefault(self._batcher_addresses.pop(handle, ""), []).append(handle)
         for address, found in counted.items():
-            await self._tell(address, pool, found)
+            await self._notify_batcher(address, pool, found)
 
-    async def _outlast_rest(self, view, pool) -> bool:
+    async def _wait_out_backoff(self, view, pool) -> bool:
         """Wait until a worker has rested; False if it drops the results sooner by itself.
 
         Their room then counts as taken until their lifetime is over.
@@ -114,13 +114,13 @@
             await asyncio.sleep(view.asked.rest_until - now)
         return True
 
-    async def _give_up_later(self, pool, handles, view):
+    async def _release_later(self, pool, handles, view):
         """Give results up with others when their worker takes a call that may as well be left out.
 
         Work goes first there. What it drops sooner by itself counts as taken until then.
         """
         now = clock.monotonic()
-        wait = max(_HELD_BACK_SECONDS, view.blocked_until() - now)
+        wait = max(_MIN_HELD_BACK_SECONDS, view.blocked_until() - now)
         wait = max(wait, view.limit.spare_closed_until - now)
         lifetime = self._result_lifetime(pool)
         kept = []
@@ -128,30 +128,30 @@
             since = self._held_back_since.setdefault(handle, now)
             if lifetime and now + wait - since > lifetime:
                 del self._held_back_since[handle]
-                self._counted_at.pop(handle, None)
+                self._batcher_addresses.pop(handle, None)
             else:
                 kept.append(handle)
         if kept:
             await asyncio.sleep(wait)
-            self.give_up(pool, kept)
+            self.release(pool, kept)
 
     def _result_lifetime(self, pool) -> float:
         """Return how long workers of a pool keep results, in seconds; 0 if that is not known."""
         found = self._context.index.pools.get(pool)
         return found.batches.result_lifetime if found and found.batches else 0.0
 
-    async def _tell(self, address, pool, handles):
+    async def _notify_batcher(self, address, pool, handles):
         if not address:
-            self._count_here(pool, handles)
+            self._free_locally(pool, handles)
             return
         try:
             await self._links.link(address).send(StageFreed(pool=pool, handles=handles))
         except RpcError as error:
             logger.debug("batcher not told", extra={"why": str(error)})
 
-    async def _call_again(self, view, worker, handles):
-        for _ in range(_MORE_TRIES):
-            await asyncio.sleep(_PAUSE_SECONDS)
+    async def _retry_call(self, view, worker, handles):
+        for _ in range(_MAX_RETRIES):
+            await asyncio.sleep(_RETRY_PAUSE_SECONDS)
             try:
                 if await self._call(view, worker, handles):
                     return
--- a/traystall/passthrough/stages/room_watch.py
+++ b/traystall/passthrough/stages/result_memory_watch.py
@@ -18,13 +18,13 @@
 from traystall.routes.models import BatchProfile
 
 # How long an answer is waited for, in seconds, and how often a worker is asked at the most.
-_TIMEOUT = 0.15
-_EVERY_SECONDS = 0.4
+_TIMEOUT_SECONDS = 0.15
+_MIN_INTERVAL_SECONDS = 0.4
 
 logger = logging.getLogger(__name__)
 
 
-class RoomWatch:
+class ResultMemoryWatch:
     """Ask the workers of one pool; `on_answer` is called whenever one has told its room."""
 
     def __init__(self, context, on_answer):
@@ -34,28 +34,28 @@
 
     def review(self, view, worker: Worker, profile: BatchProfile, now: float) -> None:
         """Ask a worker whose room is unknown, was refused, or is partly taken by others."""
-        if not profile.room_bytes or now - worker.asked_at < _EVERY_SECONDS:
+        if not profile.room_bytes or now - worker.memory_requested_at < _MIN_INTERVAL_SECONDS:
             return
-        if worker.is_room_known and not worker.book.foreign(now):
+        if worker.is_memory_known and not worker.book.foreign(now):
             return
-        first = worker.asked_at == float("-inf")
-        worker.asked_at = now
+        first = worker.memory_requested_at == float("-inf")
+        worker.memory_requested_at = now
         if first:
-            worker.wait_until = now + _TIMEOUT
+            worker.memory_wait_until = now + _TIMEOUT_SECONDS
         task = asyncio.create_task(self._ask(view, worker, profile))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _ask(self, view, worker, profile):
         try:
-            async with asyncio.timeout(_TIMEOUT):
+            async with asyncio.timeout(_TIMEOUT_SECONDS):
                 free = await self._free_bytes(view)
         except (ExchangeError, TimeoutError, ValueError) as error:
             logger.debug("room not told", extra={"target": view.identity, "why": str(error)})
             return
         now = clock.monotonic()
-        worker.is_room_known = True
-        worker.wait_until = float("-inf")
+        worker.is_memory_known = True
+        worker.memory_wait_until = float("-inf")
         foreign = worker.book.note_free(free, profile.room_bytes, now, profile.result_lifetime)
         if foreign:
             decision("room", target=view.identity, free=free, foreign=foreign)
--- a/traystall/passthrough/stages/room.py
+++ b/traystall/passthrough/stages/room.py
@@ -1,10 +1,10 @@
 """Count the room that results take at their worker. Pure; sizes in bytes, monotonic seconds."""
 
-_MIN_SHARE = 0.5
-_SHRINK = 0.93
-_GROW = 0.004
+_MIN_USABLE_RATIO = 0.5
+_SHRINK_FACTOR = 0.93
+_GROWTH_STEP = 0.004
 # Weight of the newest result in the means.
-_LEARNING = 0.03
+_MEAN_WEIGHT = 0.03
 
 
 class RoomBook:
@@ -15,17 +15,17 @@
         self.share = 1.0
         self._held: dict[str, tuple[int, float, float]] = {}
         # How long a result is held, and how large it is, as means.
-        self._held_seconds = 0.0
+        self._mean_held_seconds = 0.0
         self._mean_bytes = 0.0
         self._reserved = 0
         # What others hold here, as the worker told, and when that is surely over.
         self._foreign = 0
         self._foreign_until = float("-inf")
 
-    def note_free(self, free: int, room: int, now: float, lifetime: float) -> int:
+    def note_free(self, free: int, capacity_bytes: int, now: float, lifetime: float) -> int:
         """Take in how much room the worker says it has left; return what others hold here."""
         self._foreign = 0
-        self._foreign = max(0, room - free - self.taken(now))
+        self._foreign = max(0, capacity_bytes - free - self.taken(now))
         self._foreign_until = now + lifetime
         return self._foreign
 
@@ -44,28 +44,28 @@
     def hold(self, handle: str, size: int, now: float, lifetime: float) -> None:
         """Count a result; after its lifetime its worker drops it by itself."""
         self._held[handle] = (size, now, now + lifetime)
-        self._mean_bytes += _LEARNING * (size - self._mean_bytes)
+        self._mean_bytes += _MEAN_WEIGHT * (size - self._mean_bytes)
 
     def free(self, handle: str, now: float) -> None:
         """Count a result as given up."""
         held = self._held.pop(handle, None)
         if held is not None:
-            self._held_seconds += _LEARNING * (now - held[1] - self._held_seconds)
+            self._mean_held_seconds += _MEAN_WEIGHT * (now - held[1] - self._mean_held_seconds)
 
-    def rate(self, room: float, call_seconds: float, now: float) -> float:
+    def rate(self, capacity_bytes: float, call_seconds: float, now: float) -> float:
         """Return how many results a second the room allows, for how long each is held."""
-        if not self._mean_bytes or not self._held_seconds:
+        if not self._mean_bytes or not self._mean_held_seconds:
             return float("inf")
-        results = max(0.0, room * self.share - self.foreign(now)) / self._mean_bytes
-        return results / (self._held_seconds + call_seconds)
+        results = max(0.0, capacity_bytes * self.share - self.foreign(now)) / self._mean_bytes
+        return results / (self._mean_held_seconds + call_seconds)
 
     def on_refused(self) -> None:
         """Use less room: the worker had less left than was counted."""
-        self.share = max(_MIN_SHARE, self.share * _SHRINK)
+        self.share = max(_MIN_USABLE_RATIO, self.share * _SHRINK_FACTOR)
 
     def on_taken(self) -> None:
         """Use a little more room again."""
-        self.share = min(1.0, self.share + _GROW)
+        self.share = min(1.0, self.share + _GROWTH_STEP)
 
     def taken(self, now: float) -> int:
         """Return how much room is taken."""
--- a/traystall/passthrough/stages/stage_call.py
+++ b/traystall/passthrough/stages/stage_call.py
@@ -8,7 +8,7 @@
 
 # How many ends of targets one stage of a request may meet: after the first it is made alone, so
 # that the second one tells.
-MOST_ENDS = 2
+MAX_TARGET_ENDS = 2
 
 
 class StageCall(msgspec.Struct, eq=False):
@@ -20,14 +20,14 @@
     started: bool = False
     # When it was asked for, how long the last of its pieces waited, and how long that one's call
     # took, in seconds.
-    asked_at: float = 0.0
+    requested_at: float = 0.0
     waited: float = 0.0
     called: float = 0.0
     # When to come back, in seconds, where it was given up since its targets rest.
     retry_after: float | None = None
     # Lives of targets that ended while they made pieces of it, and how many of them it may meet.
     ended: list[str] = []
-    most_ends: int = MOST_ENDS
+    max_target_ends: int = MAX_TARGET_ENDS
 
     def close(self, piece: int, handle: str, reason: str) -> None:
         """Take in what became of a piece; the first result of it counts."""
@@ -37,8 +37,8 @@
             self.done.set_result(None)
 
 
-def to_job(request, home, piece, now) -> PieceJob:
-    """Return one piece of a stage that `request` asks for, best made at `home`."""
+def to_job(request, locality, piece, now) -> PieceJob:
+    """Return one piece of a stage that `request` asks for, best made at `locality`."""
     return PieceJob(
         call_id=request.call_id,
         request_id=request.request_id,
@@ -50,10 +50,10 @@
         due=now + (request.seconds_to_start or 0.0),
         deadline=now + (request.seconds_left or 0.0),
         result_bytes=request.result_bytes or 0,
-        data_centre=home.data_centre,
+        data_centre=locality.data_centre,
         places=tuple(request.places or ()),
-        away_bytes=home.away_bytes,
-        apart_bytes=home.apart_bytes,
-        next_pools=home.next_pools,
+        away_bytes=locality.away_bytes,
+        split_bytes=locality.split_bytes,
+        reader_pools=locality.reader_pools,
         alone=bool(request.alone),
     )
--- a/traystall/passthrough/stages/workers.py
+++ b/traystall/passthrough/stages/workers.py
@@ -8,14 +8,14 @@
 # A target that takes this many times what it should is left for pressing work.
 SLOW_RATIO = 1.6
 # Weights of the newest call when it was slower, and when it was faster, than the mean.
-_LEARN_SLOWER = 0.6
-_LEARN_FASTER = 0.4
+_SLOWER_CALL_WEIGHT = 0.6
+_FASTER_CALL_WEIGHT = 0.4
 # A slow target is tried again this often.
-_PROBE_SECONDS = 1.0
+_PROBE_INTERVAL_SECONDS = 1.0
 # A call that takes so many times what it should is not waited for alone.
-_OVERDUE_RATIO = 1.7
-_UNSETTLED_RATIO = 2.7
-_OVERDUE_SECONDS = 0.06
+_OVERDUE_FACTOR = 1.7
+_TAKEOVER_OVERDUE_RATIO = 2.7
+_OVERDUE_MARGIN_SECONDS = 0.06
 
 
 class Worker(msgspec.Struct, eq=False):
@@ -28,9 +28,9 @@
     # Until when its newest call should be at work.
     busy_until: float = float("-inf")
     # Whether the room that others take here is known, since when, and until when to wait for it.
-    is_room_known: bool = False
-    asked_at: float = float("-inf")
-    wait_until: float = float("-inf")
+    is_memory_known: bool = False
+    memory_requested_at: float = float("-inf")
+    memory_wait_until: float = float("-inf")
 
     def began(self, now: float, size: int, seconds: float) -> None:
         """Count a call whose results may take `size` bytes and that should take `seconds`."""
@@ -51,25 +51,25 @@
     def learn(self, seconds: float, expected: float) -> None:
         """Learn from how long a call took."""
         found = seconds / max(0.001, expected)
-        weight = _LEARN_SLOWER if found > self.ratio else _LEARN_FASTER
+        weight = _SLOWER_CALL_WEIGHT if found > self.ratio else _FASTER_CALL_WEIGHT
         self.ratio += weight * (found - self.ratio)
 
     def is_worth_calling(
-        self, profile: BatchProfile, waiting: int, sound_workers: int, now: float
+        self, profile: BatchProfile, waiting: int, healthy_workers: int, now: float
     ) -> bool:
         """Return whether a call here ends before the sound targets would have come to it."""
-        if self.ratio < SLOW_RATIO or not sound_workers:
+        if self.ratio < SLOW_RATIO or not healthy_workers:
             return True
-        if now - self.last_began > _PROBE_SECONDS:
+        if now - self.last_began > _PROBE_INTERVAL_SECONDS:
             return True
-        calls_ahead = waiting / (profile.batch * sound_workers)
+        calls_ahead = waiting / (profile.batch * healthy_workers)
         return self.ratio < 1 + calls_ahead
 
 
-def overdue_after(expected: float, settled: bool) -> float:
+def overdue_after(expected: float, is_settled: bool) -> float:
     """Return after how many seconds a call is overdue, so that its pieces are asked elsewhere.
 
     Right after another gateway has handed over, a target may still be at work for that one.
     """
-    ratio = _OVERDUE_RATIO if settled else _UNSETTLED_RATIO
-    return expected * ratio + _OVERDUE_SECONDS
+    ratio = _OVERDUE_FACTOR if is_settled else _TAKEOVER_OVERDUE_RATIO
+    return expected * ratio + _OVERDUE_MARGIN_SECONDS
