--- a/traystall/passthrough/stages/batcher.py
+++ b/traystall/passthrough/stages/batcher.py
@@ -1,9 +1,9 @@
-"""Bring pieces of many gateways together, so that targets get full batches.
+"""Collect the pieces of many gateways at one batcher, so that targets get full batches.
 
-One live gateway of each cell, the same in everyone's view, batches the pieces of
-all pools, so that it can tell which requests may begin. Batching is for efficiency only: when
-the batcher can't be reached or stops answering, a gateway calls the targets
-itself; a piece may be made twice.
+The gateways of a cell agree on one live gateway, the batcher. It batches the pieces of all pools of
+the cell and decides on the admission of requests, since it knows the load of all queues. Batching
+only improves efficiency: if the batcher is unreachable or stops answering, a gateway tries the next
+one and finally calls the targets itself. A piece may then run twice.
 """
 
 import asyncio
@@ -29,44 +29,46 @@
     StageRequest,
 )
 
-# The reason of pieces of a request that was refused before it began.
+# The reason of pieces of a request that was not admitted.
 BUSY = "busy"
-# So many batchers are asked in turn before a gateway calls the targets itself.
+# How many batchers a gateway tries before it calls the targets itself.
 _MAX_BATCHERS = 3
-# While a batcher holds pieces it is asked this often, in seconds, whether it is there.
-_PING_SECONDS = 0.15
-# Longer than a lost packet takes to be sent again: loss alone must not move the ownership.
-_PING_TIMEOUT = 0.35
-# A batcher that ends a stage because its time is over is given so long, in seconds, to say so:
-# some times what a lost packet takes to be sent again on a link of 1.4 ms.
-_REPLY_SECONDS = 0.3
-# The part of the aim that a request may wait to be let in, the part of the time left for one
-# that came back, and how often that is asked, in seconds.
+# Interval of health checks while a batcher processes a stage request.
+_PING_INTERVAL_SECONDS = 0.15
+# Longer than the retransmission of a lost packet: packet loss alone must not move the ownership.
+_PING_TIMEOUT_SECONDS = 0.35
+# Time after a stage's deadline in which the batcher can report that the stage is late: several
+# times the retransmission of a lost packet on a link of 1.4 ms.
+_REPLY_MARGIN_SECONDS = 0.3
+# How long a request may wait for admission: a ratio of its route's latency target, or for a request
+# that its caller retries, of its remaining time.
 _ADMISSION_WAIT_RATIO = 0.2
 _RETRY_WAIT_RATIO = 0.4
+# Interval at which a waiting request is checked for admission.
 _ADMISSION_POLL_SECONDS = 0.05
 
 logger = logging.getLogger(__name__)
 
 
 class Batcher:
-    """Send pieces to the gateway that batches, or batch them here."""
+    """Send pieces to the batcher of their cell, or batch them locally."""
 
     def __init__(self, context: PassContext, links: LinkPool):
         self._context = context
         self._links = links
-        # By cell and pool, and by cell.
+        # Keyed by cell and pool.
         self._queues: dict[tuple[str, str], PieceQueue] = {}
+        # Keyed by cell.
         self._books: dict[str, AdmissionBook] = {}
-        # By cell, how long the queues of its shared pools were, and when that was told.
+        # Keyed by cell: the last known waits of its shared pools in seconds, and when they came in.
         self._queue_waits: dict[str, tuple[dict[str, float], float]] = {}
-        # Calls whose requests came back and wait to be let in.
+        # Ids of stage calls whose requests wait for admission.
         self._awaiting_admission: set[str] = set()
         self._releases = ResultReleases(context, links, self.freed_here)
         self._tasks: set[asyncio.Task] = set()
 
     async def run(self, request: StageRequest) -> StageReply:
-        """Return the handles of all pieces of one stage, or why there are none."""
+        """Return the result handles of all pieces of one stage, or the reasons for a failure."""
         for _ in range(_MAX_BATCHERS):
             owner = self._owner(self._cell(request))
             if owner is None:
@@ -85,17 +87,17 @@
         return await self.run_here(request)
 
     def waits_told(self) -> dict[str, dict[str, float]]:
-        """Return how long the queues of shared pools were, by cell, as this gateway was told."""
+        """Return the waits of shared pools in seconds that batchers last reported, by cell."""
         return {cell: waits for cell, (waits, _) in self._queue_waits.items()}
 
     def _attach_queue_waits(self, request):
-        """Tell whoever batches what was told last of the queues of its cell."""
+        """Attach the last known waits of the cell's queues, for a batcher that has taken over."""
         waits, at = self._queue_waits.get(self._cell(request), (None, 0.0))
         if waits:
             request.waits, request.waits_age = waits, clock.monotonic() - at
 
     def _mark_unavailable(self, owner, request, error):
-        """Note that a batcher does not serve; the next one in order is asked then."""
+        """Mark a batcher as unavailable, so that the next one in order becomes the owner."""
         self._context.owners.on_error(owner.identity, error)
         decision(
             "batcher-left",
@@ -106,16 +108,16 @@
         )
 
     async def run_here(self, request: StageRequest) -> StageReply:
-        """Batch the pieces of one stage at this gateway, or refuse a request that begins."""
+        """Batch the pieces of one stage at this gateway, or refuse a request that starts."""
         cell = self._cell(request)
         if request.waits:
             age = request.waits_age or 0.0
             self._book(cell).take_over(request.waits, age, clock.monotonic())
         verdict = await self._wait_for_admission(request, cell)
         if not verdict.admitted:
-            rest = self._backoff_seconds(request)
-            after_rest = self._context.after_rest(rest) if rest else 0.0
-            retry_after = max(verdict.retry_after, after_rest)
+            backoff = self._backoff_seconds(request)
+            after_backoff = self._context.after_rest(backoff) if backoff else 0.0
+            retry_after = max(verdict.retry_after, after_backoff)
             return StageReply(
                 handles=[],
                 reasons=[BUSY] * len(request.pieces),
@@ -132,14 +134,14 @@
         return reply
 
     def _backoff_seconds(self, request) -> float:
-        """Return how long a pool of its stages rests as a whole, in seconds; 0 if none does."""
+        """Return the seconds until no pool of a request has all targets in backoff, or 0."""
         route = self._context.index.named(request.route)
         pools = {stage.pool for stage in route.stages} if route is not None else set()
         places = tuple(request.places or ())
         return max((self._context.rest_left(pool, places) for pool in pools), default=0.0)
 
     def _locality(self, request) -> StageLocality:
-        """Return where a stage is best made, by where its inputs lie and who reads its results."""
+        """Return the preferred data centre of a stage by its inputs and its results' readers."""
         route = self._context.index.named(request.route)
         counts = request.counts or []
         if route is None or len(counts) != len(route.stages):
@@ -150,7 +152,7 @@
         )
 
     def _input_bytes(self, route, counts, request) -> Counter[str]:
-        """Return the bytes that each piece of a stage reads, by the data centre where they lie."""
+        """Return the input bytes of each piece of a stage, by the data centre that holds them."""
         held: Counter[str] = Counter()
         handles = iter(request.inputs or ())
         for earlier in route.stages[request.stage].after:
@@ -160,12 +162,12 @@
         found: Counter[str] = Counter()
         for worker, size in held.items():
             view = self._context.board.at_address(worker)
-            if view is not None:  # One that is gone holds nothing.
+            if view is not None:  # A target that is gone holds no results.
                 found[view.report.data_centre] += size
         return found
 
     def _usual_seconds(self, request) -> float:
-        """Return how long the longest chain of a request takes without waiting."""
+        """Return the duration of a request's longest chain of stages without queueing."""
         route = self._context.index.named(request.route)
         if route is None:
             return 0.0
@@ -178,14 +180,14 @@
         return max(ends, default=0.0)
 
     def cancel(self, call_id: str, request_id: str) -> None:
-        """Drop the pieces of a call that nobody waits for any more; its request is over."""
+        """Drop the pieces of a cancelled stage call and end its request."""
         self._awaiting_admission.discard(call_id)
         self._end_request(request_id)
         for queue in self._queues.values():
             queue.cancel(call_id)
 
     def abandon(self, request_id: str, data_centre: str) -> None:
-        """Tell that a request is over and will ask for nothing more."""
+        """End a request here and notify its batcher that no stages of it will follow."""
         self._end_request(request_id)
         owner = self._owner(cell_of(request_id, data_centre, self._context.cells()))
         if owner is not None:
@@ -193,37 +195,37 @@
             self._spawn(self._send(self._links.link(owner.rpc_address), message))
 
     async def ping(self, request: PingRequest) -> PingReply:
-        """Answer that this gateway is there."""
+        """Answer a health check."""
         return PingReply(identity=self._context.identity)
 
     def freed_here(self, pool: str, handles: list[str]) -> None:
-        """Take in that results of a pool were given up."""
+        """Count results of a pool as freed in the queues of this gateway."""
         for (_, name), queue in self._queues.items():
             if name == pool:
                 queue.freed(handles)
 
     def free(self, pool: str, handles: list[str]) -> None:
-        """Give results up."""
+        """Free results at their workers."""
         self._releases.release(pool, handles)
 
     async def drain(self, seconds: float) -> None:
-        """Return once nobody waits for pieces that are batched here, or after `seconds`."""
+        """Return once no stage call waits for pieces that are batched here, or after `seconds`."""
         deadline = clock.monotonic() + seconds
         while clock.monotonic() < deadline and any(q.is_busy() for q in self._queues.values()):
             await asyncio.sleep(0.02)
 
     def pump(self) -> None:
-        """Call targets that have come free or are new."""
+        """Dispatch waiting pieces to targets that are free or new."""
         for queue in self._queues.values():
             queue.pump()
 
     def close(self) -> None:
-        """End what is under way."""
+        """Cancel the background tasks."""
         self._releases.close()
         for task in self._tasks:
             task.cancel()
 
-    # ---- another gateway batches ----
+    # ---- batching at another gateway ----
 
     def _owner(self, cell):
         return self._context.batching_owner(cell)
@@ -234,14 +236,14 @@
 
     async def _run_remotely(self, owner, request):
         link = self._links.link(owner.rpc_address)
-        seconds = max(0.1, request.seconds_left) + _REPLY_SECONDS
+        seconds = max(0.1, request.seconds_left) + _REPLY_MARGIN_SECONDS
         call = asyncio.create_task(link.call(request, seconds))
-        watch = asyncio.create_task(self._monitor(link))
+        health_check = asyncio.create_task(self._monitor(link))
         try:
-            await asyncio.wait({call, watch}, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait({call, health_check}, return_when=asyncio.FIRST_COMPLETED)
             if call.done():
                 return call.result()
-            return watch.result()  # Raises what the watch has found.
+            return health_check.result()  # Raises the error of the failed health check.
         except asyncio.CancelledError:
             self._spawn(
                 self._send(
@@ -250,26 +252,26 @@
             )
             raise
         finally:
-            watch.cancel()
+            health_check.cancel()
             call.cancel()
-            await asyncio.gather(call, watch, return_exceptions=True)
+            await asyncio.gather(call, health_check, return_exceptions=True)
 
     async def _monitor(self, link):
-        """Raise an RpcError once the batcher doesn't answer."""
+        """Raise an RpcError once the batcher fails a health check."""
         while True:
-            await asyncio.sleep(_PING_SECONDS)
-            await link.call(PingRequest(sender=self._context.identity), _PING_TIMEOUT)
+            await asyncio.sleep(_PING_INTERVAL_SECONDS)
+            await link.call(PingRequest(sender=self._context.identity), _PING_TIMEOUT_SECONDS)
 
     async def _send(self, link, message):
         try:
             await link.send(message)
         except RpcError as error:
-            logger.debug("batcher not told", extra={"why": str(error)})
+            logger.debug("could not notify the batcher", extra={"why": str(error)})
 
-    # ---- this gateway batches ----
+    # ---- batching at this gateway ----
 
     async def _wait_for_admission(self, request, cell) -> Verdict:
-        """Return the verdict on a request, which may wait a while for it."""
+        """Return the verdict on a request; a request that is refused at first may wait a while."""
         verdict = self._admit(request, cell, 0.0)
         if verdict.admitted or request.refuse_at_once:
             return verdict
@@ -277,7 +279,7 @@
         patience = self._max_admission_wait(request, verdict)
         waited = 0.0
         if self._backoff_seconds(request) > patience or verdict.seconds_to_turn > patience:
-            # Nothing that could happen meanwhile would let it in.
+            # The request can't be admitted within the wait that it is allowed.
             self._record_refusal(request, cell, verdict, waited)
             return verdict
         self._awaiting_admission.add(request.call_id)
@@ -296,10 +298,11 @@
         return verdict
 
     def _max_admission_wait(self, request, verdict) -> float:
-        """Return how long a request may wait to be let in, in seconds.
+        """Return how long a request may wait for admission, in seconds.
 
-        A refusal within a quarter of the aim is worth most to its caller. Where pools are shared by
-        parts, who came back waits no longer than others: its turn comes like theirs.
+        A refusal is most useful to a caller within a quarter of the latency target. In pools with
+        capacity shares a retried request waits no longer than others, because shares alone decide
+        whose turn it is.
         """
         if verdict.came_back and not verdict.shared:
             return (request.seconds_left or 0.0) * _RETRY_WAIT_RATIO
@@ -321,8 +324,8 @@
             binding=verdict.binding,
             rates={
                 name: round(queue.rate(clock.monotonic()), 1)
-                for (place, name), queue in self._queues.items()
-                if place == cell
+                for (queue_cell, name), queue in self._queues.items()
+                if queue_cell == cell
             },
             retry_after=round(verdict.retry_after, 3),
         )
--- a/traystall/passthrough/stages/piece_queue.py
+++ b/traystall/passthrough/stages/piece_queue.py
@@ -260,7 +260,7 @@
         }
 
     def _missing_pools(self, data_centre) -> frozenset[str]:
-        """Return the pools that read results of waiting pieces and lack targets in a data centre."""
+        """Return the pools that read results of waiting pieces but have no local target."""
         pools = {name for job in self._waiting for name in job.reader_pools}
         return frozenset(
             name
--- a/traystall/passthrough/stages/result_memory_watch.py
+++ b/traystall/passthrough/stages/result_memory_watch.py
@@ -1,9 +1,8 @@
-"""Ask workers how much room they have, where the gateway that calls them can't know.
+"""Query the free result memory of workers where the calling gateway can't know it.
 
-A gateway that takes over from another one does not know of the results that the
-other's requests still hold, and neither does one after a loss of power. Calls
-that run out of room are lost work, so the worker is asked before its first call,
-and again after each refusal for want of room.
+A gateway that takes over from another one, or restarts after a power loss, does not know the
+results that earlier requests still hold. A call that runs out of memory is wasted work, so the
+worker is queried before its first call and after each refusal for lack of memory.
 """
 
 import asyncio
@@ -17,7 +16,7 @@
 from traystall.passthrough.stages.workers import Worker
 from traystall.routes.models import BatchProfile
 
-# How long an answer is waited for, in seconds, and how often a worker is asked at the most.
+# Timeout of a query, and the shortest interval between two queries of a worker.
 _TIMEOUT_SECONDS = 0.15
 _MIN_INTERVAL_SECONDS = 0.4
 
@@ -25,7 +24,7 @@
 
 
 class ResultMemoryWatch:
-    """Ask the workers of one pool; `on_answer` is called whenever one has told its room."""
+    """Query the workers of one pool; `on_answer` is called after each successful query."""
 
     def __init__(self, context, on_answer):
         self._context = context
@@ -33,7 +32,7 @@
         self._tasks: set[asyncio.Task] = set()
 
     def review(self, view, worker: Worker, profile: BatchProfile, now: float) -> None:
-        """Ask a worker whose room is unknown, was refused, or is partly taken by others."""
+        """Query a worker whose free memory is unknown or partly held by other gateways' results."""
         if not profile.room_bytes or now - worker.memory_requested_at < _MIN_INTERVAL_SECONDS:
             return
         if worker.is_memory_known and not worker.book.foreign(now):
@@ -42,16 +41,18 @@
         worker.memory_requested_at = now
         if first:
             worker.memory_wait_until = now + _TIMEOUT_SECONDS
-        task = asyncio.create_task(self._ask(view, worker, profile))
+        task = asyncio.create_task(self._query(view, worker, profile))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _ask(self, view, worker, profile):
+    async def _query(self, view, worker, profile):
         try:
             async with asyncio.timeout(_TIMEOUT_SECONDS):
                 free = await self._free_bytes(view)
         except (ExchangeError, TimeoutError, ValueError) as error:
-            logger.debug("room not told", extra={"target": view.identity, "why": str(error)})
+            logger.debug(
+                "free memory not reported", extra={"target": view.identity, "why": str(error)}
+            )
             return
         now = clock.monotonic()
         worker.is_memory_known = True
--- a/traystall/passthrough/stages/workers.py
+++ b/traystall/passthrough/stages/workers.py
@@ -1,55 +1,64 @@
-"""Targets that make pieces, as the gateway that calls them sees them. Pure; monotonic seconds."""
+"""Workers: targets that run pieces, as recorded by the gateway that calls them. Pure.
+
+Times are monotonic seconds.
+"""
 
 import msgspec
 
 from traystall.passthrough.stages.room import RoomBook
 from traystall.routes.models import BatchProfile
 
-# A target that takes this many times what it should is left for pressing work.
+# A target whose calls take this many times their expected duration is slow: it gets a call only if
+# the call ends before the other targets could serve the queue, or as a probe.
 SLOW_RATIO = 1.6
-# Weights of the newest call when it was slower, and when it was faster, than the mean.
+# Weights of the newest call in the moving average, if it was slower or faster than the average.
 _SLOWER_CALL_WEIGHT = 0.6
 _FASTER_CALL_WEIGHT = 0.4
-# A slow target is tried again this often.
+# A slow target is probed with a call after this long without one.
 _PROBE_INTERVAL_SECONDS = 1.0
-# A call that takes so many times what it should is not waited for alone.
+# A call is overdue, and its pieces are hedged, after this many times its expected duration plus a
+# margin; the larger factor applies while targets may still run calls of the previous batcher.
 _OVERDUE_FACTOR = 1.7
-_TAKEOVER_OVERDUE_RATIO = 2.7
+_TAKEOVER_OVERDUE_FACTOR = 2.7
 _OVERDUE_MARGIN_SECONDS = 0.06
 
 
 class Worker(msgspec.Struct, eq=False):
-    """Hold one target: calls under way, room taken, and how slow it is."""
+    """Hold one target: its calls in flight, its result memory, and its slowdown.
+
+    `ratio` is the moving average of actual to expected call duration.
+    """
 
     book: RoomBook = msgspec.field(default_factory=RoomBook)
     calls: int = 0
     ratio: float = 1.0
     last_began: float = float("-inf")
-    # Until when its newest call should be at work.
+    # The expected end of the newest call.
     busy_until: float = float("-inf")
-    # Whether the room that others take here is known, since when, and until when to wait for it.
+    # Whether the memory held by other gateways' results is known, when it was last requested, and
+    # until when calls wait for the first answer.
     is_memory_known: bool = False
     memory_requested_at: float = float("-inf")
     memory_wait_until: float = float("-inf")
 
     def began(self, now: float, size: int, seconds: float) -> None:
-        """Count a call whose results may take `size` bytes and that should take `seconds`."""
+        """Count a call that is expected to take `seconds` and to return `size` bytes of results."""
         self.calls += 1
         self.busy_until = now + seconds * max(1.0, self.ratio)
         self.last_began = now
         self.book.reserve(size)
 
     def ended(self, size: int) -> None:
-        """Count a call as over."""
+        """Count a call of `size` bytes of results as ended."""
         self.calls -= 1
         self.book.unreserve(size)
 
     def wait(self, slots: int, now: float) -> float:
-        """Return how long it is still at work before it takes another call, in seconds."""
+        """Return the expected seconds until the target can take another call."""
         return max(0.0, self.busy_until - now) if self.calls >= slots else 0.0
 
     def learn(self, seconds: float, expected: float) -> None:
-        """Learn from how long a call took."""
+        """Update the slowdown from the actual and expected duration of a call."""
         found = seconds / max(0.001, expected)
         weight = _SLOWER_CALL_WEIGHT if found > self.ratio else _FASTER_CALL_WEIGHT
         self.ratio += weight * (found - self.ratio)
@@ -57,7 +66,7 @@
     def is_worth_calling(
         self, profile: BatchProfile, waiting: int, healthy_workers: int, now: float
     ) -> bool:
-        """Return whether a call here ends before the sound targets would have come to it."""
+        """Return whether a call here ends before the healthy targets would serve its pieces."""
         if self.ratio < SLOW_RATIO or not healthy_workers:
             return True
         if now - self.last_began > _PROBE_INTERVAL_SECONDS:
@@ -67,9 +76,10 @@
 
 
 def overdue_after(expected: float, is_settled: bool) -> float:
-    """Return after how many seconds a call is overdue, so that its pieces are asked elsewhere.
+    """Return after how many seconds a call is overdue, so that its pieces are hedged.
 
-    Right after another gateway has handed over, a target may still be at work for that one.
+    Shortly after a takeover (`is_settled` is False) targets may still run calls of the previous
+    batcher, so the limit is higher.
     """
-    ratio = _OVERDUE_FACTOR if is_settled else _TAKEOVER_OVERDUE_RATIO
+    ratio = _OVERDUE_FACTOR if is_settled else _TAKEOVER_OVERDUE_FACTOR
     return expected * ratio + _OVERDUE_MARGIN_SECONDS
