--- a/tests/passthrough/test_homes.py
+++ b/tests/passthrough/test_homes.py
@@ -9,7 +9,7 @@
 from tests.support.emulator.gateway import EmulatedGateway, run, table
 from tests.support.emulator.runner import Runner
 from traystall.core import clock
-from traystall.passthrough.stages.locality import StageLocality, stage_locality
+from traystall.passthrough.stages.homes import StageLocality, stage_locality
 from traystall.registry.models import TargetReport
 from traystall.routes.models import StagePlan
 
--- a/traystall/passthrough/stages/__init__.py
+++ b/traystall/passthrough/stages/__init__.py
@@ -1,1 +1,1 @@
-"""Pieces of stages: who batches them, where they are made, the room of their results."""
+"""Stages of requests and their pieces: batching, data locality, and the memory of their results."""
--- a/traystall/passthrough/stages/batcher.py
+++ b/traystall/passthrough/stages/batcher.py
@@ -17,7 +17,7 @@
 from traystall.passthrough.admission.book import AdmissionBook, Arrival, Verdict
 from traystall.passthrough.context import PassContext
 from traystall.passthrough.stages.cells import cell_of
-from traystall.passthrough.stages.locality import StageLocality, stage_locality
+from traystall.passthrough.stages.homes import StageLocality, stage_locality
 from traystall.passthrough.stages.piece_queue import PieceQueue
 from traystall.passthrough.stages.releases import ResultReleases
 from traystall.rpc.client import LinkPool
@@ -146,12 +146,12 @@
         counts = request.counts or []
         if route is None or len(counts) != len(route.stages):
             return StageLocality(request.data_centre or "", request.away_bytes or 0)
-        inputs = self._input_bytes(route, counts, request)
+        inputs = self._input_bytes_by_data_centre(route, counts, request)
         return stage_locality(
             route.stages, counts, request.stage, inputs, request.data_centre or ""
         )
 
-    def _input_bytes(self, route, counts, request) -> Counter[str]:
+    def _input_bytes_by_data_centre(self, route, counts, request) -> Counter[str]:
         """Return the input bytes of each piece of a stage, by the data centre that holds them."""
         held: Counter[str] = Counter()
         handles = iter(request.inputs or ())
--- a/traystall/passthrough/stages/batching.py
+++ b/traystall/passthrough/stages/batching.py
@@ -167,7 +167,7 @@
     others that are about as urgent, and light stages go to any data centre, so that slots do not
     stay empty. A stage is started only if the results of all its waiting pieces fit, because the
     results of an incomplete stage take memory and are useless. `started` holds the ids of the
-    stage calls that have some pieces started; those continue first. `room` is the free result
+    stage calls that have some pieces started; those continue first. `free_bytes` is the free result
     memory in bytes.
     """
     live = [job for job in waiting if job.deadline > now]
@@ -207,7 +207,7 @@
 
 
 def _jobs_that_fit(jobs, profile, free_bytes, started):
-    """Return the pieces of one stage that may start with `room` bytes of free result memory."""
+    """Return the pieces of one stage that may start with `free_bytes` of result memory."""
     needed = sum(job.result_bytes for job in jobs)
     if needed <= free_bytes:
         return jobs
--- a/traystall/passthrough/stages/cells.py
+++ b/traystall/passthrough/stages/cells.py
@@ -1,11 +1,9 @@
-"""Decide which data centres batch pieces for themselves. Pure.
-
-One gateway that batches for all fills the calls best where targets are few.
-Where there are targets enough, the work is split by data centre: results stay
-where they are read, a cut concerns nobody else, and no single gateway's link
-carries the pieces of all. A data centre that lacks workers is batched together
-with another one, so that the loss of a few never brings the pieces of all to
-one gateway.
+"""Divide the data centres into cells, each of which batches its own pieces. Pure.
+
+With few targets a single batcher fills the calls best. With enough targets the work is split by
+data centre: results stay where they are read, a network partition affects no other cell, and no
+gateway's link has to carry all pieces. A data centre with too few workers shares a cell with
+another one, so that the loss of a few workers never moves all pieces to one gateway.
 """
 
 from collections import Counter
@@ -16,16 +14,16 @@
 
 from traystall.systems.rendezvous import rendezvous_order
 
-# The whole system as one cell.
+# The cell of all data centres, for a system that is not divided.
 WHOLE = ""
-# Each pool needs so many workers for each cell, as a mean, and so many in all before any split.
-# With three workers a split in two would leave one of them alone with half of the pieces.
+# A pool needs this many workers per cell on average, and this many in total before any split: with
+# three workers a split into two cells would leave one worker with half of the pieces.
 _WORKERS_PER_CELL = 1.5
 _MIN_WORKERS = 4
 
 
 class Cells(msgspec.Struct, frozen=True):
-    """Hold the cells: each has a name and its data centres; none means one for all."""
+    """Map the name of each cell to its data centres; empty if the system is not divided."""
 
     members: dict[str, tuple[str, ...]] = {}
 
@@ -37,7 +35,7 @@
         return list(self.members)
 
     def data_centres(self, cell: str) -> tuple[str, ...]:
-        """Return the data centres of a cell; none for the whole, or a cell that is no more."""
+        """Return the data centres of a cell; none for WHOLE or for a cell that no longer exists."""
         return self.members.get(cell, ())
 
     def of(self, data_centre: str) -> str:
@@ -49,7 +47,7 @@
 
 
 def batching_cells(pools: Iterable[Counter[str]]) -> Cells:
-    """Return the cells that batch for themselves; none if one gateway batches for all.
+    """Return the cells of the system; none if it is not divided.
 
     Each entry of `pools` counts the workers of one pool by data centre.
     """
@@ -64,7 +62,7 @@
 
 
 def cell_of(request_id: str, data_centre: str, cells: Cells) -> str:
-    """Return the cell that makes the pieces of a request whose results `data_centre` reads."""
+    """Return the cell that runs the pieces of a request whose results `data_centre` reads."""
     if not cells:
         return WHOLE
     return cells.of(data_centre) or rendezvous_order(request_id, cells.names())[0]
@@ -72,54 +70,58 @@
 
 def balanced_cell(
     request_id: str,
-    home: str,
+    preferred: str,
     cells: Cells,
     pools: Iterable[Counter[str]],
     engines: Counter[str],
 ) -> str:
-    """Return the cell that makes the pieces of a request whose results may well cross.
+    """Return the cell that runs the pieces of a request whose results may cross data centres.
 
-    `home` is the cell whose engine will probably read them, `pools` count the workers
-    of each pool that the request asks, `engines` those that read, by data centre.
-    Requests go to engines by their number, so a cell with fewer workers than engines,
-    compared with the others, hands on what is above its part: by the name of the
-    request, alike at every gateway.
+    `preferred` is the cell of the engine that probably reads the results. `pools` counts the
+    workers of each pool that the request uses, `engines` the engines, both by data centre.
+    Requests are distributed by the number of engines. A cell whose share of the workers is smaller
+    than its share of the engines therefore passes the excess requests on to other cells. The choice
+    depends on the request id only, so that all gateways agree.
     """
     demand = _worker_shares(engines, cells)
-    capacity = _capacity_shares(pools, cells)
-    if not demand or not capacity or capacity[home] >= demand[home]:
-        return home
-    drawn = xxhash.xxh64_intdigest(f"cell {request_id}".encode()) / 2**64
-    kept = capacity[home] / demand[home]
-    if drawn < kept:
-        return home
-    left = (drawn - kept) / (1 - kept) * sum(max(0.0, capacity[n] - demand[n]) for n in capacity)
+    capacity = _cell_capacities(pools, cells)
+    if not demand or not capacity or capacity[preferred] >= demand[preferred]:
+        return preferred
+    draw = xxhash.xxh64_intdigest(f"cell {request_id}".encode()) / 2**64
+    keep_ratio = capacity[preferred] / demand[preferred]
+    if draw < keep_ratio:
+        return preferred
+    left = (
+        (draw - keep_ratio)
+        / (1 - keep_ratio)
+        * sum(max(0.0, capacity[n] - demand[n]) for n in capacity)
+    )
     for name in capacity:
         left -= max(0.0, capacity[name] - demand[name])
         if left < 0:
             return name
-    return home
+    return preferred
 
 
 def _worker_shares(counts, cells) -> dict[str, float]:
-    """Return the part of `counts` that each cell has; nothing if no cell has any."""
+    """Return the share of `counts` that each cell has; empty if no cell has any."""
     found = {name: _workers_in(inside, counts) for name, inside in cells.members.items()}
     whole = sum(found.values())
     return {name: count / whole for name, count in found.items()} if whole else {}
 
 
-def _capacity_shares(pools, cells) -> dict[str, float]:
-    """Return the part of the work that each cell can take, by the pool that it has least of."""
+def _cell_capacities(pools, cells) -> dict[str, float]:
+    """Return the share of the work that each cell can take, by the pool that is scarcest there."""
     by_pool = [_worker_shares(workers, cells) for workers in pools]
     if not by_pool or not all(by_pool):
         return {}
-    least = {name: min(shares[name] for shares in by_pool) for name in cells.members}
-    whole = sum(least.values())
-    return {name: part / whole for name, part in least.items()} if whole else {}
+    smallest = {name: min(shares[name] for shares in by_pool) for name in cells.members}
+    whole = sum(smallest.values())
+    return {name: part / whole for name, part in smallest.items()} if whole else {}
 
 
 def other_cell(request_id: str, tried: str, cells: Cells, places: tuple[str, ...]) -> str:
-    """Return a cell to try after `tried`, inside `places` if any are named; WHOLE if none is."""
+    """Return a cell to try after `tried`, within `places` if any are given, or else WHOLE."""
     left = [
         name
         for name, inside in cells.members.items()
@@ -129,7 +131,7 @@
 
 
 def _have_enough_workers(groups, pools):
-    """Return whether every pool has workers in each group, and enough for so many groups."""
+    """Return whether every pool has workers in each group, and enough workers for all groups."""
     for workers in pools:
         if workers.total() < max(_MIN_WORKERS, _WORKERS_PER_CELL * len(groups)):
             return False
@@ -139,9 +141,10 @@
 
 
 def _merge_weakest(groups, pools):
-    """Return the groups with the one joined to another whose scarcest pool has least.
+    """Return the groups with the weakest one merged into another.
 
-    The other is the next weakest that has workers of every pool, a small one before a large.
+    A group is as weak as its share of its scarcest pool. The partner is the next weakest group that
+    has workers of every pool; of equally weak groups the smaller one is preferred.
     """
     weakest = min(groups, key=lambda group: (_smallest_share(group, pools), group))
     others = [group for group in groups if group != weakest]
@@ -151,12 +154,12 @@
         return (not found, found, len(group), group)
 
     partner = min(others, key=weakness)
-    kept = [group for group in others if group != partner]
-    return [tuple(sorted(weakest + partner)), *kept]
+    remaining = [group for group in others if group != partner]
+    return [tuple(sorted(weakest + partner)), *remaining]
 
 
 def _smallest_share(group, pools):
-    """Return the least part of a pool's workers that a group has."""
+    """Return the smallest share of any pool's workers that a group has."""
     return min(_workers_in(group, workers) / max(1, workers.total()) for workers in pools)
 
 
--- a/traystall/passthrough/stages/chain.py
+++ b/traystall/passthrough/stages/chain.py
@@ -1,4 +1,4 @@
-"""The stages of one request: each begins when those that it reads are done."""
+"""Run the stages of one request; a stage starts when the stages that it reads are complete."""
 
 import asyncio
 
@@ -11,14 +11,14 @@
 
 # The reason of a piece whose inputs are lost.
 INPUTS_LOST = "gone"
-# The part of the learned difference between two chains that the shorter one waits.
+# The ratio of the measured difference between two chains by which the shorter one is delayed.
 _DELAY_RATIO = 0.7
 
 
 class StageFailed(GatewayError):
-    """Report a stage whose pieces can't all be made in time; the request itself has not run.
+    """Report a stage whose pieces did not all run in time; the request itself has not run.
 
-    `retry_after` is set where the request was refused before it began, in seconds.
+    `retry_after` is set in seconds if the request was refused or its targets are in backoff.
     """
 
     def __init__(self, detail, retry_after=None):
@@ -27,11 +27,11 @@
 
 
 class InputsGone(StageFailed):
-    """Report results that were lost with their worker: the stages have to be run again."""
+    """Report results that were lost with their worker, so that the stages have to run again."""
 
 
 def away_bytes(stages, counts, index: int) -> int:
-    """Return what crosses data centres if a piece of stage `index` is made away from the others.
+    """Return the bytes that cross data centres if a piece of stage `index` runs away from the rest.
 
     Each piece reads every result of the stages before it.
     """
@@ -41,7 +41,7 @@
 
 
 class StageChain:
-    """Run the stages of one request and give their results up when they are of no more use."""
+    """Run the stages of one request and free their results when no stage reads them any more."""
 
     def __init__(self, context, passed):
         self._context = context
@@ -52,11 +52,11 @@
     async def run(self) -> tuple[str, ...]:
         """Return the handles that the request itself reads; raise StageFailed."""
         counts = self._passed.piece_counts
-        wanted = [index for index, count in enumerate(counts) if count]
+        requested_stages = [index for index, count in enumerate(counts) if count]
         tasks: dict[int, asyncio.Task] = {}
-        for index in wanted:
-            earlier = [tasks[i] for i in self._passed.route.stages[index].after if i in tasks]
-            tasks[index] = asyncio.create_task(self._run_stage(index, counts[index], earlier))
+        for index in requested_stages:
+            earlier_tasks = [tasks[i] for i in self._passed.route.stages[index].after if i in tasks]
+            tasks[index] = asyncio.create_task(self._run_stage(index, counts[index], earlier_tasks))
         try:
             await asyncio.gather(*tasks.values())
         except BaseException:
@@ -72,13 +72,13 @@
         )
 
     def free(self) -> None:
-        """Give up every result that is still held."""
+        """Free all results that are still held."""
         for index, handles in self._handles.items():
             self._free(index, handles)
 
-    async def _run_stage(self, index, count, earlier):
-        if earlier:
-            await asyncio.gather(*earlier)
+    async def _run_stage(self, index, count, earlier_tasks):
+        if earlier_tasks:
+            await asyncio.gather(*earlier_tasks)
         else:
             await asyncio.sleep(self._delay(index))
         passed = self._passed
@@ -108,13 +108,13 @@
             alone=self._context.guard.suspect(passed.guarded) is not None,
             customer=passed.customer.name if passed.customer is not None else "",
         )
-        began = clock.monotonic()
+        started_at = clock.monotonic()
         reply = await self._context.batcher.run(request)
         for life in reply.ended or ():
             self._context.guard.ended(passed.guarded, plan.pool, life, REFUSED)
         if all(reply.handles):
-            self._record_stage(index, clock.monotonic() - began, reply)
-            self._context.learn_stage(plan.pool, clock.monotonic() - began)
+            self._record_stage(index, clock.monotonic() - started_at, reply)
+            self._context.learn_stage(plan.pool, clock.monotonic() - started_at)
         self._handles[index] = [handle for handle in reply.handles if handle]
         if len(self._handles[index]) < count:
             reasons = sorted({reason for reason in reply.reasons if reason})
@@ -125,18 +125,18 @@
         self._free_consumed(index)
 
     def _record_stage(self, index, seconds, reply):
-        """Note how long a stage took, for the log; a request that was refused made none."""
+        """Record the duration of a stage for the log; a refused request has no results."""
         if reply.handles:
             made = MadeStage(index, seconds, reply.waited or 0.0, reply.called or 0.0)
             self._passed.made_stages.append(made)
 
     def _delay(self, index) -> float:
-        """Return how long a stage may wait so that its results are not ready before the others.
+        """Return the delay of a first stage, so that its results are not ready long before others.
 
-        Results that wait for a longer chain beside them take room for nothing.
+        Results that wait for a longer parallel chain hold memory without use.
         """
         learned = self._context.stage_seconds
-        longest = max(
+        longest_chain_seconds = max(
             (
                 self._seconds_from(i, learned)
                 for i, count in enumerate(self._passed.piece_counts)
@@ -144,10 +144,10 @@
             ),
             default=0.0,
         )
-        return max(0.0, longest - self._seconds_from(index, learned)) * _DELAY_RATIO
+        return max(0.0, longest_chain_seconds - self._seconds_from(index, learned)) * _DELAY_RATIO
 
     def _seconds_to_start(self, index) -> float:
-        """Return when this stage should begin so that the request can still be in time."""
+        """Return the seconds within which a stage should start to meet the latency target."""
         passed = self._passed
         left = passed.started + passed.route.aim - clock.monotonic()
         usual = self._context.usual_stage_seconds
@@ -155,7 +155,7 @@
         return left - self._seconds_from(index, usual) - engine
 
     def _seconds_from(self, index, seconds_of) -> float:
-        """Return how long this stage and the longest chain after it take by `seconds_of(pool)`."""
+        """Return the duration of a stage and its longest successor chain by `seconds_of(pool)`."""
         route = self._passed.route
         count = self._passed.piece_counts[index]
         own = seconds_of(route.stages[index].pool) if count else 0.0
@@ -163,7 +163,7 @@
         return own + max((self._seconds_from(i, seconds_of) for i in later), default=0.0)
 
     def _free_consumed(self, index):
-        """Give up the results that only finished stages read."""
+        """Free the results of earlier stages whose readers have all completed."""
         stages = self._passed.route.stages
         for earlier in stages[index].after:
             readers = [
@@ -175,7 +175,7 @@
                 self._free(earlier, self._handles.get(earlier, ()))
 
     def _free(self, index, handles):
-        news = [handle for handle in handles if handle not in self._freed]
-        self._freed.update(news)
-        if news:
-            self._context.batcher.free(self._passed.route.stages[index].pool, news)
+        unfreed = [handle for handle in handles if handle not in self._freed]
+        self._freed.update(unfreed)
+        if unfreed:
+            self._context.batcher.free(self._passed.route.stages[index].pool, unfreed)
--- a/traystall/passthrough/stages/pace.py
+++ b/traystall/passthrough/stages/pace.py
@@ -1,24 +1,25 @@
-"""Decide when the next call of a pool begins. Pure; times are monotonic seconds.
+"""Space the calls of a pool evenly. Pure; times are monotonic seconds.
 
-Load: pools at half of their rate whose targets are all at work all the time. The pieces of a call
-end together, so the next stages of its requests come together, and whichever target is free takes
-the first of them alone and is at work for a whole call; the others wait for the next one. Calls
-that begin at even distances, as many in the time of one as there are targets, each take what has
-come since the last: their sizes are alike, and nobody waits long for the next one.
+Without pacing, a pool at half of its capacity can have all its targets busy all the time. The
+pieces of a call complete together, so the next stages of their requests arrive together. The first
+free target takes the first of these pieces alone and is busy for a whole call, and the other pieces
+wait for the next target. With evenly spaced calls, as many per call duration as there are targets,
+each call takes the pieces that arrived since the previous one. The batches are of similar size and
+no piece waits long.
 """
 
-# The part of an even distance that calls keep: at the whole of it targets would stand idle
-# whenever calls grow shorter, and less of what a crowd asks would be made.
+# The ratio of an even spacing that calls keep. With the full spacing, targets would be idle
+# whenever calls become shorter, and the pool's throughput under overload would drop.
 _SPACING_RATIO = 0.8
 
 
 def begins_at(
     last_began: float, call_seconds: float, targets: int, waiting: int, batch: int
 ) -> float:
-    """Return from when on the next call of a pool begins.
+    """Return the earliest start of the next call of a pool.
 
-    The last one began at `last_began`; calls take `call_seconds` lately, `targets` can be called,
-    and `waiting` pieces wait. A full call of `batch` pieces begins as soon as a target is free.
+    The previous call started at `last_began`. Calls currently take `call_seconds`, `targets` can be
+    called, and `waiting` pieces wait. A full call of `batch` pieces starts without delay.
     """
     if waiting >= batch or targets < 2:
         return float("-inf")
--- a/traystall/passthrough/stages/piece_calls.py
+++ b/traystall/passthrough/stages/piece_calls.py
@@ -1,4 +1,4 @@
-"""One call of a target that makes pieces."""
+"""Run a batch of pieces with one call of a target."""
 
 import asyncio
 
@@ -11,8 +11,9 @@
 
 # The reason of pieces whose call was never sent.
 UNREACHABLE = "unreachable"
+# The reason of pieces whose call the target refused without running it.
 FULL = "full"
-# A call is given up after this many times what it should take, and this many seconds more.
+# The timeout of a call is this many times its expected duration plus a margin.
 _TIMEOUT_FACTOR = 6.0
 _TIMEOUT_MARGIN_SECONDS = 0.5
 _REFUSAL_PAUSE_SECONDS = 0.05
@@ -45,7 +46,7 @@
 
 
 def request_bytes(call: HttpCall, host: str, headers: dict[str, str] | None = None) -> bytes:
-    """Return the bytes of a call of our own with a JSON body."""
+    """Return the bytes of a gateway's own HTTP request with a JSON body."""
     lines = [
         f"{call.method} {call.path} HTTP/1.1",
         f"Host: {host}",
--- a/traystall/passthrough/stages/piece_queue.py
+++ b/traystall/passthrough/stages/piece_queue.py
@@ -16,7 +16,7 @@
 from traystall.passthrough.exceptions import ConnectionBroken, ExchangeError, TargetHeldBack
 from traystall.passthrough.stages.batching import FreeTarget, PieceJob, isolate, take_batch
 from traystall.passthrough.stages.cells import WHOLE
-from traystall.passthrough.stages.locality import StageLocality
+from traystall.passthrough.stages.homes import StageLocality
 from traystall.passthrough.stages.pace import begins_at
 from traystall.passthrough.stages.piece_calls import FULL, UNREACHABLE, call_worker
 from traystall.passthrough.stages.result_memory_watch import ResultMemoryWatch
--- a/traystall/passthrough/stages/releases.py
+++ b/traystall/passthrough/stages/releases.py
@@ -1,4 +1,4 @@
-"""Give results up at their workers, and tell who counts the room that they took."""
+"""Free results at their workers, and notify the batchers that count the results' memory."""
 
 import asyncio
 import logging
@@ -13,13 +13,13 @@
 from traystall.rpc.client import LinkPool
 from traystall.rpc.gen.wire.ttypes import StageFreed
 
-# Results are collected this long, in seconds, so that a worker gets one call for many.
+# Results are collected this long, so that a worker gets one call for many of them.
 _COLLECT_SECONDS = 0.01
-_CALL_TIMEOUT = 1.0
-# A worker that has not answered is told again after a pause, in seconds: with the time-outs
-# these outlast the four seconds for which the pages' workers keep a result.
+_CALL_TIMEOUT_SECONDS = 1.0
+# A call without an answer is retried after a pause. Retries, pauses and timeouts together outlast
+# the four seconds for which workers keep a result by specification.
 _MAX_RETRIES = 3
-# Results whose worker takes no call for them are collected so long at least, in seconds.
+# Shortest delay of results whose worker takes no calls because of its rate limit or backoff.
 _MIN_HELD_BACK_SECONDS = 0.5
 _RETRY_PAUSE_SECONDS = 0.2
 
@@ -27,12 +27,13 @@
 
 
 class ResultReleases:
-    """Hold the results that are to be given up, and where the room of each is counted.
+    """Collect the results to be freed, and remember which batcher counts the memory of each.
 
-    Who batched the pieces is told, whoever batches now: it counts the room of their results.
-    While two data centres see different batchers, room that is told to the wrong one would
-    seem taken until the results' lifetime is over. Beside a lossy data centre 9 to 12 of the about
-    11 heavy results that a worker holds were such, for two seconds (ages logged at each call).
+    The notification goes to the gateway that batched the pieces, even if another gateway is the
+    batcher now, because the former counts the memory of the results. While gateways of two data
+    centres see different batchers, a notification to the wrong one would leave the memory counted
+    as used until the results expire. Next to a data centre with packet loss this affected 9 to 12
+    of the about 11 heavy results that a worker holds, for two seconds (ages logged at each call).
     """
 
     def __init__(
@@ -43,23 +44,23 @@
     ):
         self._context = context
         self._links = links
-        # Takes in the pool and handles of results that this gateway itself has counted.
+        # Called with the pool and handles of freed results that this gateway counts.
         self._free_locally = free_locally
         self._waiting: dict[tuple[str, str], list[str]] = {}
-        # The links' address of the gateway that batched a result, unless it is this one.
+        # The RPC address of the gateway that batched a result, unless it is this gateway.
         self._batcher_addresses: dict[str, str] = {}
-        # Since when results wait that their worker takes no call for.
+        # Since when results wait because their worker takes no calls for them.
         self._held_back_since: dict[str, float] = {}
         self._tasks: set[asyncio.Task] = set()
 
     def note_batched(self, handles: list[str], address: str) -> None:
-        """Note that the gateway at `address` has batched the pieces of some results."""
+        """Record that the gateway at `address` batched the pieces of some results."""
         for handle in handles:
             if handle:
                 self._batcher_addresses[handle] = address
 
     def release(self, pool: str, handles: list[str]) -> None:
-        """Give results of a pool up, soon and many at a time."""
+        """Free results of a pool after a short delay, many in one call."""
         if not self._waiting:
             self._spawn(self._flush_soon())
         for handle in handles:
@@ -67,7 +68,7 @@
             self._waiting.setdefault((pool, worker), []).append(handle)
 
     def close(self) -> None:
-        """End what is under way."""
+        """Cancel the background tasks."""
         for task in self._tasks:
             task.cancel()
 
@@ -78,9 +79,9 @@
             self._spawn(self._send(pool, worker, handles))
 
     async def _send(self, pool, worker, handles):
-        """Tell the worker, then who counts its room: before that it is still taken.
+        """Call the worker, then notify the batchers: until the call the memory is still in use.
 
-        A worker that did not answer has mostly heard it all the same; it is told again to be sure.
+        A worker that did not answer has usually processed the call; the retry makes sure of it.
         """
         view = self._context.board.at_address(worker)
         if view is not None and not await self._wait_out_backoff(view, pool):
@@ -88,7 +89,7 @@
                 self._batcher_addresses.pop(handle, None)
             return
         try:
-            # A worker that is gone holds nothing.
+            # A worker that is gone holds no results.
             if view is not None and not await self._call(view, worker, handles):
                 self._spawn(self._retry_call(view, worker, handles))
         except TargetHeldBack:
@@ -102,9 +103,9 @@
             await self._notify_batcher(address, pool, found)
 
     async def _wait_out_backoff(self, view, pool) -> bool:
-        """Wait until a worker has rested; False if it drops the results sooner by itself.
+        """Wait for the end of a worker's backoff; return False if the results expire before that.
 
-        Their room then counts as taken until their lifetime is over.
+        Expired results count as memory in use until the end of their lifetime.
         """
         lifetime = self._result_lifetime(pool)
         began = clock.monotonic()
@@ -115,28 +116,29 @@
         return True
 
     async def _release_later(self, pool, handles, view):
-        """Give results up with others when their worker takes a call that may as well be left out.
+        """Queue results again once their worker takes calls of low priority.
 
-        Work goes first there. What it drops sooner by itself counts as taken until then.
+        Work takes precedence within a worker's rate limit. Results that would expire before that
+        are dropped here and count as memory in use until the end of their lifetime.
         """
         now = clock.monotonic()
         wait = max(_MIN_HELD_BACK_SECONDS, view.blocked_until() - now)
         wait = max(wait, view.limit.spare_closed_until - now)
         lifetime = self._result_lifetime(pool)
-        kept = []
+        retained = []
         for handle in handles:
             since = self._held_back_since.setdefault(handle, now)
             if lifetime and now + wait - since > lifetime:
                 del self._held_back_since[handle]
                 self._batcher_addresses.pop(handle, None)
             else:
-                kept.append(handle)
-        if kept:
+                retained.append(handle)
+        if retained:
             await asyncio.sleep(wait)
-            self.release(pool, kept)
+            self.release(pool, retained)
 
     def _result_lifetime(self, pool) -> float:
-        """Return how long workers of a pool keep results, in seconds; 0 if that is not known."""
+        """Return how long workers of a pool keep results, in seconds; 0 if unknown."""
         found = self._context.index.pools.get(pool)
         return found.batches.result_lifetime if found and found.batches else 0.0
 
@@ -147,7 +149,7 @@
         try:
             await self._links.link(address).send(StageFreed(pool=pool, handles=handles))
         except RpcError as error:
-            logger.debug("batcher not told", extra={"why": str(error)})
+            logger.debug("could not notify the batcher", extra={"why": str(error)})
 
     async def _retry_call(self, view, worker, handles):
         for _ in range(_MAX_RETRIES):
@@ -159,11 +161,11 @@
                 continue
 
     async def _call(self, view, worker, handles) -> bool:
-        """Return whether the worker has answered; raise TargetHeldBack if it takes no call now."""
+        """Return whether the worker answered; raise TargetHeldBack if it takes no calls now."""
         call = self._context.stage_dialect.free(handles)
         try:
             async with (
-                asyncio.timeout(_CALL_TIMEOUT),
+                asyncio.timeout(_CALL_TIMEOUT_SECONDS),
                 Attempt(view, self._context.names, None, is_work=False) as attempt,
             ):
                 await attempt.open(float("inf"))
--- a/traystall/passthrough/stages/stage_call.py
+++ b/traystall/passthrough/stages/stage_call.py
@@ -1,4 +1,4 @@
-"""What one gateway asked of a pool for one stage of a request, and the pieces of it."""
+"""The state of one stage call: a gateway's request to run all pieces of a request's stage."""
 
 import asyncio
 
@@ -6,31 +6,32 @@
 
 from traystall.passthrough.stages.batching import PieceJob
 
-# How many ends of targets one stage of a request may meet: after the first it is made alone, so
-# that the second one tells.
+# How many targets may end while they run a stage of one request. After the first end the stage runs
+# isolated from other requests, so that a second end identifies the request as the cause.
 MAX_TARGET_ENDS = 2
 
 
 class StageCall(msgspec.Struct, eq=False):
-    """Hold what one gateway asked for: all pieces of one stage of one request."""
+    """Hold the results of a stage call, and the future that completes with them."""
 
     handles: list[str]
     reasons: list[str]
     done: asyncio.Future
     started: bool = False
-    # When it was asked for, how long the last of its pieces waited, and how long that one's call
-    # took, in seconds.
+    # When the call came in; how long its last completed piece waited and how long that piece's
+    # call of the target took, in seconds.
     requested_at: float = 0.0
     waited: float = 0.0
     called: float = 0.0
-    # When to come back, in seconds, where it was given up since its targets rest.
+    # Seconds after which to retry, if the call failed because its targets are in backoff.
     retry_after: float | None = None
-    # Lives of targets that ended while they made pieces of it, and how many of them it may meet.
+    # Incarnations of targets that ended while they ran pieces of this stage, and the highest
+    # number of them.
     ended: list[str] = []
     max_target_ends: int = MAX_TARGET_ENDS
 
     def close(self, piece: int, handle: str, reason: str) -> None:
-        """Take in what became of a piece; the first result of it counts."""
+        """Record the result of a piece, or the reason why it has none."""
         self.handles[piece] = handle
         self.reasons[piece] = reason
         if (reason or all(self.handles)) and not self.done.done():
@@ -38,7 +39,7 @@
 
 
 def to_job(request, locality, piece, now) -> PieceJob:
-    """Return one piece of a stage that `request` asks for, best made at `locality`."""
+    """Return one piece of the requested stage, to be run preferably as `locality` says."""
     return PieceJob(
         call_id=request.call_id,
         request_id=request.request_id,
--- a/traystall/passthrough/stages/worker_rates.py
+++ b/traystall/passthrough/stages/worker_rates.py
@@ -1,22 +1,23 @@
-"""How fast the targets of a pool make pieces. Pure; monotonic seconds, rates pieces a second."""
+"""Estimate the throughput of targets. Pure; monotonic seconds, rates in pieces per second."""
 
 from traystall.systems.permits import FIRST_PART
 
 
 def rate_of_workers(workers, profile, now) -> float:
-    """Return how many pieces a second some targets make with full calls, as far as room lasts.
+    """Return the pieces per second that targets run with full calls, within their result memory.
 
-    `workers` are pairs of a worker and the calls a second that it takes, None for any number.
+    `workers` holds pairs of a worker and its rate limit in calls per second, None for no limit.
     """
     seconds = max(0.001, profile.seconds(profile.batch))
     called = sum(
-        profile.batch * _calls(worker, taken, profile, seconds) for worker, taken in workers
+        profile.batch * _calls_per_second(worker, limit, profile, seconds)
+        for worker, limit in workers
     )
     held = sum(worker.book.rate(profile.room_bytes, seconds, now) for worker, _ in workers)
     return min(called, held)
 
 
-def _calls(worker, taken, profile, seconds) -> float:
-    """Return how many full calls a second a target answers, by its slots and its limit."""
-    calls = profile.slots / seconds / worker.ratio
-    return calls if taken is None else min(calls, taken * FIRST_PART)
+def _calls_per_second(worker, limit, profile, seconds) -> float:
+    """Return the full calls per second that a target answers, given its slots and rate limit."""
+    unlimited = profile.slots / seconds / worker.ratio
+    return unlimited if limit is None else min(unlimited, limit * FIRST_PART)
