--- a/traystall/passthrough/stages/batcher.py
+++ b/traystall/passthrough/stages/batcher.py
@@ -40,7 +40,7 @@
 # Time after a stage's deadline in which the batcher can report that the stage is late: several
 # times the retransmission of a lost packet on a link of 1.4 ms.
 _REPLY_MARGIN_SECONDS = 0.3
-# How long a request may wait for admission: a ratio of its route's latency target, or for a request
+# How long a request may wait for admission: a ratio of its route's latency goal, or for a request
 # that its caller retries, of its remaining time.
 _ADMISSION_WAIT_RATIO = 0.2
 _RETRY_WAIT_RATIO = 0.4
@@ -300,7 +300,7 @@
     def _max_admission_wait(self, request, verdict) -> float:
         """Return how long a request may wait for admission, in seconds.
 
-        A refusal is most useful to a caller within a quarter of the latency target. In pools with
+        A refusal is most useful to a caller within a quarter of the latency goal. In pools with
         capacity shares a retried request waits no longer than others, because shares alone decide
         whose turn it is.
         """
--- a/traystall/passthrough/stages/batching.py
+++ b/traystall/passthrough/stages/batching.py
@@ -31,7 +31,7 @@
 class PieceJob(msgspec.Struct, eq=False):
     """Hold one piece that waits to be run.
 
-    `due` is the latest start with which its request meets its latency target, `deadline` the time
+    `due` is the latest start with which its request meets its latency goal, `deadline` the time
     after which the result is useless. `data_centre` is where the piece preferably runs; empty
     means anywhere.
     """
--- a/traystall/passthrough/stages/chain.py
+++ b/traystall/passthrough/stages/chain.py
@@ -147,7 +147,7 @@
         return max(0.0, longest_chain_seconds - self._seconds_from(index, learned)) * _DELAY_RATIO
 
     def _seconds_to_start(self, index) -> float:
-        """Return the seconds within which a stage should start to meet the latency target."""
+        """Return the seconds within which a stage should start to meet the latency goal."""
         passed = self._passed
         left = passed.started + passed.route.aim - clock.monotonic()
         usual = self._context.usual_stage_seconds
