--- a/tests/passthrough/test_batching.py
+++ b/tests/passthrough/test_batching.py
@@ -1,4 +1,4 @@
-"""Which pieces a free target gets: order, home, room, and the places of customers."""
+"""Test the selection of pieces for a call: order, locality, memory, and customers' data centres."""
 
 import msgspec
 
@@ -15,103 +15,119 @@
 HEAVY = 3_000_000
 
 
-def test_most_pressing_pieces_go_first():
+def test_pieces_due_first_are_selected_first():
     jobs = [job("c", 3.0), job("a", 1.0), job("b", 2.0)]
     assert [j.call_id for j in take_batch(jobs, PROFILE, 10, 0.0)] == ["a", "b"]
 
 
-def test_of_equal_urgency_what_is_late_waits_behind_what_can_be_in_time():
+def test_late_pieces_go_after_punctual_pieces_of_the_same_priority():
     jobs = [job("late", 0.0), job("soon", 3.0), job("later", 4.0)]
     assert [j.call_id for j in take_batch(jobs, PROFILE, 10, 2.0)] == ["soon", "later"]
 
 
-def at(place, **waits_by_data_centre):
+def free_target(place, **waits_by_data_centre):
     return FreeTarget(place, 1, waits_by_data_centre)
 
 
-def away(away_bytes=HEAVY, name="away", home="there"):
+def job_away(away_bytes=HEAVY, name="away", home="there"):
     return PieceJob(name, name, 0, 0, "k", (), 0, 3.0, 9.0, 0, home, away_bytes=away_bytes)
 
 
 LARGE = BatchProfile(batch=8, room_bytes=HEAVY)
 
 
-def test_piece_waits_for_a_worker_where_its_result_is_read():
-    job = away()
-    assert take_batch([job], LARGE, HEAVY, 1.0, at("here", there=0.1)) == []
-    assert take_batch([job], LARGE, HEAVY, 1.0, at("there", there=0.1)) == [job]
-    assert take_batch([job], LARGE, HEAVY, 2.95, at("here", there=0.1)) == [job], "it is pressing"
+def test_piece_waits_for_a_worker_in_its_preferred_data_centre():
+    job = job_away()
+    assert take_batch([job], LARGE, HEAVY, 1.0, free_target("here", there=0.1)) == []
+    assert take_batch([job], LARGE, HEAVY, 1.0, free_target("there", there=0.1)) == [job]
+    assert take_batch([job], LARGE, HEAVY, 2.95, free_target("here", there=0.1)) == [job], (
+        "it is urgent"
+    )
 
 
-def test_heavy_piece_waits_for_its_home_also_in_a_crowd():
+def test_heavy_piece_waits_for_its_data_centre_in_a_crowded_pool():
     crowded = BatchProfile(batch=2, room_bytes=HEAVY)
-    assert take_batch([away()], crowded, HEAVY, 1.0, at("here", there=0.1)) == []
-    light = away(60_000)
-    assert take_batch([light], crowded, HEAVY, 1.0, at("here", there=0.0)) == [light]
+    assert take_batch([job_away()], crowded, HEAVY, 1.0, free_target("here", there=0.1)) == []
+    light = job_away(60_000)
+    assert take_batch([light], crowded, HEAVY, 1.0, free_target("here", there=0.0)) == [light]
 
 
-def test_to_let_much_cross_for_what_is_late_anyway_helps_nobody():
-    job = away()
-    assert take_batch([job], LARGE, HEAVY, 3.1, at("here", there=0.1)) == [job]
-    assert take_batch([job], LARGE, HEAVY, 3.5, at("here", there=0.1)) == []
-    assert take_batch([job], LARGE, HEAVY, 3.5, at("here", there=0.5)) == [job], "a long wait"
-    assert take_batch([job], LARGE, HEAVY, 3.5, at("here")) == [job], "there is no worker there"
+def test_late_heavy_piece_leaves_its_data_centre_only_after_a_long_wait():
+    job = job_away()
+    assert take_batch([job], LARGE, HEAVY, 3.1, free_target("here", there=0.1)) == [job]
+    assert take_batch([job], LARGE, HEAVY, 3.5, free_target("here", there=0.1)) == []
+    assert take_batch([job], LARGE, HEAVY, 3.5, free_target("here", there=0.5)) == [job], (
+        "a long wait"
+    )
+    assert take_batch([job], LARGE, HEAVY, 3.5, free_target("here")) == [job], (
+        "no worker in its data centre"
+    )
 
 
-def test_pieces_of_a_stage_are_weighed_together():
-    jobs = [away(60_000), away(60_000), away(60_000)]
-    assert take_batch(jobs[:1], LARGE, HEAVY, 1.0, at("here", there=0.01)) == jobs[:1]
-    assert take_batch(jobs, LARGE, HEAVY, 1.0, at("here", there=0.01)) == []
+def test_crossing_bytes_count_for_the_whole_stage():
+    jobs = [job_away(60_000), job_away(60_000), job_away(60_000)]
+    assert take_batch(jobs[:1], LARGE, HEAVY, 1.0, free_target("here", there=0.01)) == jobs[:1]
+    assert take_batch(jobs, LARGE, HEAVY, 1.0, free_target("here", there=0.01)) == []
 
 
-def test_piece_goes_away_where_waiting_would_make_it_late():
-    job = away(500_000)
-    assert take_batch([job], LARGE, HEAVY, 2.6, at("here", there=0.0)) == []
-    job = away(5_000_000)
-    assert take_batch([job], LARGE, HEAVY, 2.6, at("here", there=0.2)) == [], "it is in time"
-    assert take_batch([job], LARGE, HEAVY, 2.6, at("here", there=0.3)) == [job]
-    assert take_batch([job], LARGE, HEAVY, 2.6, at("here")) == [job], "there is no worker there"
+def test_heavy_piece_leaves_its_data_centre_if_waiting_makes_it_late():
+    job = job_away(500_000)
+    assert take_batch([job], LARGE, HEAVY, 2.6, free_target("here", there=0.0)) == []
+    job = job_away(5_000_000)
+    assert take_batch([job], LARGE, HEAVY, 2.6, free_target("here", there=0.2)) == [], (
+        "it is in time"
+    )
+    assert take_batch([job], LARGE, HEAVY, 2.6, free_target("here", there=0.3)) == [job]
+    assert take_batch([job], LARGE, HEAVY, 2.6, free_target("here")) == [job], (
+        "no worker in its data centre"
+    )
 
 
-def test_a_long_queue_at_home_lets_later_ones_go_away_in_time():
-    """Calls of an idle target must not stay empty while a crowd waits elsewhere."""
-    jobs = [away(name=f"call-{number:02}") for number in range(20)]
+def test_later_pieces_of_a_long_queue_leave_their_data_centre():
+    """Guards against an idle target while many pieces wait for another data centre."""
+    jobs = [job_away(name=f"call-{number:02}") for number in range(20)]
     target = FreeTarget("here", 2, {"here": 0.0, "there": 0.1}, {"here": 10.0, "there": 10.0})
     taken = take_batch(jobs, BatchProfile(batch=8, room_bytes=HEAVY), HEAVY, 1.0, target)
-    assert taken == jobs[2:10], "the first two wait 0.1 and 0.2 s at home, less than 3 MB cost"
-    swift = FreeTarget("here", 2, {"here": 0.0, "there": 0.1}, {"here": 10.0, "there": 100.0})
-    taken = take_batch(jobs, BatchProfile(batch=8, room_bytes=HEAVY), HEAVY, 1.0, swift)
-    assert taken == [], "all twenty are made at home within 0.3 s"
+    assert taken == jobs[2:10], (
+        "the first two wait 0.1 and 0.2 s locally, which costs less than to move 3 MB"
+    )
+    fast = FreeTarget("here", 2, {"here": 0.0, "there": 0.1}, {"here": 10.0, "there": 100.0})
+    taken = take_batch(jobs, BatchProfile(batch=8, room_bytes=HEAVY), HEAVY, 1.0, fast)
+    assert taken == [], "all twenty run in their data centre within 0.3 s"
+
 
+def test_targets_without_free_memory_have_a_rate_of_zero():
+    """Guards against a division by a rate of 0, which ended the gateway.
 
-def test_targets_whose_room_is_all_taken_by_others_make_nothing():
-    """Seen once on the bench: such a rate of 0 ended the gateway (trouble-2, seed 20261203)."""
-    jobs = [away(name=f"call-{number}") for number in range(3)]
+    The rate is 0 while other gateways' results fill the memory of all targets in a data centre.
+    It occurred in the benchmark scenario trouble-2 with seed 20261203.
+    """
+    jobs = [job_away(name=f"call-{number}") for number in range(3)]
     target = FreeTarget("here", 2, {"here": 0.0, "there": 0.1}, {"here": 10.0, "there": 0.0})
     assert take_batch(jobs, LARGE, 3 * HEAVY, 1.0, target) == jobs[1:]
 
 
-def test_piece_that_moves_little_does_not_wait_long():
-    job = away(60_000)
-    assert take_batch([job], LARGE, HEAVY, 1.0, at("here", there=0.005)) == []
-    assert take_batch([job], LARGE, HEAVY, 1.0, at("here", there=0.01)) == [job]
+def test_light_piece_waits_only_briefly():
+    job = job_away(60_000)
+    assert take_batch([job], LARGE, HEAVY, 1.0, free_target("here", there=0.005)) == []
+    assert take_batch([job], LARGE, HEAVY, 1.0, free_target("here", there=0.01)) == [job]
 
 
-def test_stage_without_a_home_is_not_begun_where_nobody_can_read_its_results():
-    job = msgspec.structs.replace(away(0, home=""), split_bytes=HEAVY, reader_pools=("later",))
+def test_stage_does_not_start_where_its_reader_pools_have_no_targets():
+    job = msgspec.structs.replace(job_away(0, home=""), split_bytes=HEAVY, reader_pools=("later",))
     waits = {"here": 0.0, "there": 0.1}
     lacking = FreeTarget("here", 1, waits, missing_pools=frozenset({"later"}))
     assert take_batch([job], LARGE, HEAVY, 1.0, lacking) == []
     assert take_batch([job], LARGE, HEAVY, 1.0, FreeTarget("here", 1, waits)) == [job]
 
 
-def test_customers_places_bind_whatever_crosses():
+def test_customers_data_centres_bind_at_any_cost():
     bound = PieceJob("b", "b", 0, 0, "k", (), 0, 3.0, 9.0, 6, "there", places=("there",))
     profile = BatchProfile(batch=8, room_bytes=HEAVY)
-    assert take_batch([bound], profile, HEAVY, 8.9, at("here", there=5.0)) == []
+    assert take_batch([bound], profile, HEAVY, 8.9, free_target("here", there=5.0)) == []
 
 
-def test_what_crosses_is_the_inputs_and_the_result_as_often_as_it_is_read():
+def test_away_bytes_count_the_inputs_and_each_read_of_the_result():
     stages = (
         StagePlan("a", (), 3_000_000),
         StagePlan("a", (), 8_000),
@@ -122,7 +138,7 @@
     assert found == [3_000_000, 64_000, 8_000 + 16 * 60_000, 8 * 60_000 + 6_000]
 
 
-def test_urgent_pieces_go_first():
+def test_pieces_of_higher_priority_go_first():
     urgent = PieceJob("u", "u", 0, 0, "k", (), 0, 5.0, 9.0, 0)
     usual = PieceJob("v", "v", 0, 0, "k", (), 2, 1.0, 9.0, 0)
     assert take_batch([usual, urgent], PROFILE, 10, 0.0) == [urgent, usual]
@@ -132,7 +148,7 @@
     return [PieceJob(name, name, 0, i, "k", (), 0, due, 9.0, size) for i in range(pieces)]
 
 
-def test_half_a_stage_is_not_begun():
+def test_stage_starts_only_if_all_its_results_fit():
     profile = BatchProfile(batch=8, room_bytes=100)
     jobs = [*stage("large", 6, 10, due=1.0), *stage("small", 2, 10, due=2.0)]
     taken = take_batch(jobs, profile, 40, 0.0)
@@ -141,12 +157,12 @@
     assert [job.call_id for job in begun] == ["large"] * 4
 
 
-def test_stage_larger_than_any_target_is_made_in_parts():
+def test_stage_larger_than_any_target_runs_in_parts():
     profile = BatchProfile(batch=8, room_bytes=100)
     assert len(take_batch(stage("huge", 12, 10), profile, 40, 0.0)) == 4
 
 
-def test_room_and_deadline_bound_a_batch():
+def test_memory_and_deadlines_limit_a_batch():
     jobs = [job("big", 1.0, 8), job("big too", 2.0, 8), job("small", 3.0, 1), job("over", 0, 0, 0)]
     profile = BatchProfile(batch=2, room_bytes=100)
     assert [j.call_id for j in take_batch(jobs, profile, 10, 0.0)] == ["big", "small"]
--- a/tests/passthrough/test_cells.py
+++ b/tests/passthrough/test_cells.py
@@ -1,4 +1,4 @@
-"""Which data centres batch for themselves, and who batches in each."""
+"""Test the division of data centres into cells, and the choice of a cell and its batcher."""
 
 import asyncio
 import random
@@ -25,8 +25,8 @@
 from traystall.registry.models import TargetReport
 from traystall.routes.models import StagePlan
 
-ENOUGH = Counter(a=3, b=3, c=2)
-FIVE = Counter(dict.fromkeys("abcde", 4))
+ENOUGH_WORKERS = Counter(a=3, b=3, c=2)
+FIVE_DATA_CENTRES = Counter(dict.fromkeys("abcde", 4))
 
 
 @pytest.mark.parametrize(
@@ -35,34 +35,37 @@
         ([], ()),
         ([Counter(a=9)], ()),
         ([Counter(a=1, b=1, c=1)], ()),
-        ([ENOUGH, ENOUGH], (("a",), ("b",), ("c",))),
-        ([ENOUGH, Counter(a=1, b=1, c=1)], ()),
+        ([ENOUGH_WORKERS, ENOUGH_WORKERS], (("a",), ("b",), ("c",))),
+        ([ENOUGH_WORKERS, Counter(a=1, b=1, c=1)], ()),
         ([Counter(a=2, b=2, c=1)], (("a",), ("b",), ("c",))),
     ],
 )
-def test_work_is_split_where_every_data_centre_has_workers_enough(pools, expected):
+def test_each_data_centre_with_enough_workers_is_a_cell(pools, expected):
     assert tuple(batching_cells(pools).members.values()) == expected
 
 
 @pytest.mark.parametrize(
     ("pools", "expected"),
     [
-        # None of a pool in one data centre: it goes with the next weakest.
-        ([ENOUGH, Counter(a=4, b=4)], (("a", "c"), ("b",))),
-        # Three of ten workers are lost, in one data centre each or both of one.
-        ([FIVE, Counter(a=2, b=2, c=1, d=1, e=1)], (("a",), ("b",), ("c", "d"), ("e",))),
-        ([FIVE, Counter(a=2, b=2, c=2, d=1)], (("a",), ("b",), ("c",), ("d", "e"))),
-        # What is left is enough for two.
-        ([FIVE, Counter(a=2, c=2)], (("a", "b", "e"), ("c", "d"))),
+        # A data centre without workers of a pool joins the next weakest one.
+        ([ENOUGH_WORKERS, Counter(a=4, b=4)], (("a", "c"), ("b",))),
+        # Three of ten workers are lost, in three data centres or two of them in the same one.
+        (
+            [FIVE_DATA_CENTRES, Counter(a=2, b=2, c=1, d=1, e=1)],
+            (("a",), ("b",), ("c", "d"), ("e",)),
+        ),
+        ([FIVE_DATA_CENTRES, Counter(a=2, b=2, c=2, d=1)], (("a",), ("b",), ("c",), ("d", "e"))),
+        # The remaining workers are enough for two cells.
+        ([FIVE_DATA_CENTRES, Counter(a=2, c=2)], (("a", "b", "e"), ("c", "d"))),
     ],
 )
-def test_data_centres_that_lack_workers_are_batched_with_another(pools, expected):
+def test_data_centres_with_too_few_workers_share_a_cell(pools, expected):
     assert tuple(batching_cells(pools).members.values()) == expected
 
 
 @settings(max_examples=300, deadline=None)
 @given(pools=st.lists(st.lists(st.integers(0, 5), min_size=5, max_size=5), min_size=1, max_size=3))
-def test_every_cell_has_workers_of_every_pool_and_every_data_centre_a_cell(pools):
+def test_cells_cover_all_data_centres_and_have_workers_of_every_pool(pools):
     counts = [Counter({n: k for n, k in zip("abcde", row, strict=True) if k}) for row in pools]
     cells = batching_cells(counts)
     known = sorted(set().union(*counts))
@@ -74,16 +77,16 @@
         assert workers.total() >= 1.5 * len(cells)
 
 
-def test_the_loss_of_one_worker_moves_few_data_centres():
-    """Queues move with their cells: only those that lack workers may be joined anew."""
+def test_loss_of_one_worker_changes_no_cell():
+    """Queues move with their cells, so only cells with too few workers may be merged."""
     whole = Counter(dict.fromkeys("abcde", 2))
-    before = batching_cells([FIVE, whole])
+    before = batching_cells([FIVE_DATA_CENTRES, whole])
     for lost in "abcde":
-        after = batching_cells([FIVE, whole - Counter([lost])])
+        after = batching_cells([FIVE_DATA_CENTRES, whole - Counter([lost])])
         assert len(after) == len(before) == 5
 
 
-def test_request_is_made_where_its_results_are_read():
+def test_request_runs_in_the_cell_that_reads_its_results():
     cells = Cells({"a": ("a", "d"), "b": ("b",), "c": ("c",)})
     assert cell_of("r", "b", cells) == "b"
     assert cell_of("r", "d", cells) == "a"
@@ -92,7 +95,7 @@
     assert set(spread) == set(cells.names()) and min(spread.values()) > 60
 
 
-def test_other_cell_is_inside_the_customers_places():
+def test_fallback_cell_is_within_the_customers_data_centres():
     cells = Cells({name: (name,) for name in "abc"})
     assert {other_cell(str(i), "a", cells, ()) for i in range(50)} == {"b", "c"}
     assert {other_cell(str(i), "a", cells, ("a", "c")) for i in range(50)} == {"c"}
@@ -100,7 +103,7 @@
     assert other_cell("r", WHOLE, Cells(), ()) == WHOLE
 
 
-def test_cell_is_gathered_inside_as_long_as_a_gateway_is_there():
+def test_batcher_of_a_cell_is_a_gateway_of_the_cell_if_there_is_one():
     rows = [row(name) for name in "abcdef"]
     for found, place in zip(rows, "xxyyzz", strict=True):
         found.data_centre = place
@@ -110,8 +113,11 @@
     assert len(rank(left, batching_key("y"), 100.0, ("y",))) == 4
 
 
-async def _play(full_cell, headers, calls=4, stages=STAGES):
-    """Run staged requests against two workers in each of two data centres, an engine in one."""
+async def run_staged_requests(refusing_cell, headers, calls=4, stages=STAGES):
+    """Run staged requests with two workers in each of two data centres and an engine in one.
+
+    The batcher of `refusing_cell` admits no request.
+    """
     engine = await Runner("e-1", events=3).start()
     workers = {}
     for place in ("here", "there"):
@@ -123,9 +129,9 @@
                     report = TargetReport(runner.identity, "batches", runner.address, place)
                     gateway.context.board.merge(report, clock.monotonic())
             assert gateway.context.cells().names() == ["here", "there"]
-            if full_cell:
-                book = gateway.context.batcher._book(full_cell)
-                book.admit = _refuse(book.admit)
+            if refusing_cell:
+                book = gateway.context.batcher._book(refusing_cell)
+                book.admit = _refuse_all(book.admit)
             answers = await asyncio.gather(
                 *(gateway.call("/staged/x", **headers) for _ in range(calls))
             )
@@ -137,7 +143,7 @@
             await runner.stop()
 
 
-def _refuse(admit):
+def _refuse_all(admit):
     def refused(arrival, loads, now, shared_pools):
         idle = {p: msgspec.structs.replace(load, rate=0.0) for p, load in loads.items()}
         return admit(arrival, idle, now)
@@ -150,56 +156,62 @@
 
 def test_heavy_pieces_stay_in_the_data_centre_of_the_engine():
     heavy = (StagePlan("batches", (), 400_000), StagePlan("batches", (0,), 10))
-    answers, workers = run(_play("", HEADERS, stages=heavy))
+    answers, workers = run(run_staged_requests("", HEADERS, stages=heavy))
     assert [status for status, _, _ in answers] == [200] * 4
     assert sum(len(runner.calls) for runner in workers["here"]) > 0
     assert [runner.calls for runner in workers["there"]] == [[], []]
 
 
 def test_light_pieces_use_the_workers_of_both_data_centres():
-    """The engine is in one of them; the workers of the other one would stand idle."""
-    answers, workers = run(_play("", HEADERS, calls=12))
+    """Guards against idle workers in the data centre without an engine."""
+    answers, workers = run(run_staged_requests("", HEADERS, calls=12))
     assert [status for status, _, _ in answers] == [200] * 12
     assert all(sum(len(r.calls) for r in runners) > 0 for runners in workers.values())
 
 
-def test_request_that_one_cell_refuses_is_made_in_another():
-    answers, workers = run(_play("here", HEADERS))
+def test_request_refused_by_one_cell_runs_in_another():
+    answers, workers = run(run_staged_requests("here", HEADERS))
     assert [status for status, _, _ in answers] == [200] * 4
     assert [runner.calls for runner in workers["here"]] == [[], []]
 
 
-THREE = Cells({"a": ("a",), "b": ("b",), "c": ("c",)})
-EVEN = Counter(a=23, b=23, c=24)
+THREE_CELLS = Cells({"a": ("a",), "b": ("b",), "c": ("c",)})
+EVEN_ENGINES = Counter(a=23, b=23, c=24)
 
 
 def spread(pools, engines, requests=6000):
-    """Return the part of the requests that each cell gets, engines being drawn by their number."""
+    """Return the share of requests of each cell, with requests spread by the number of engines."""
     draw = random.Random(1)
-    homes = draw.choices(list(engines), list(engines.values()), k=requests)
+    preferred_cells = draw.choices(list(engines), list(engines.values()), k=requests)
     found = Counter(
-        balanced_cell(f"r{number}", home, THREE, pools, engines)
-        for number, home in enumerate(homes)
+        balanced_cell(f"r{number}", preferred, THREE_CELLS, pools, engines)
+        for number, preferred in enumerate(preferred_cells)
     )
-    return {name: found[name] / requests for name in THREE.names()}
+    return {name: found[name] / requests for name in THREE_CELLS.names()}
 
 
-def test_cell_with_fewer_workers_hands_on_what_is_above_its_part():
-    """Two of eight workers would get a third of the work, and be full while others are not."""
-    found = spread([Counter(a=3, b=3, c=2), Counter(a=4, b=4, c=3)], EVEN)
+def test_cell_with_fewer_workers_passes_on_excess_requests():
+    """Guards against overload of a cell: 2 of 8 workers with a third of the engines' requests."""
+    found = spread([Counter(a=3, b=3, c=2), Counter(a=4, b=4, c=3)], EVEN_ENGINES)
     assert found["c"] == pytest.approx(2 / 8, abs=0.03)
     assert found["a"] == pytest.approx(found["b"], abs=0.03)
 
 
-def test_even_cells_keep_what_is_theirs():
+def test_balanced_cells_keep_their_requests():
     for number in range(200):
-        for home in "abc":
-            args = (f"r{number}", home, THREE, [Counter(a=3, b=3, c=3)], Counter(a=5, b=5, c=5))
-            assert balanced_cell(*args) == home
+        for preferred in "abc":
+            args = (
+                f"r{number}",
+                preferred,
+                THREE_CELLS,
+                [Counter(a=3, b=3, c=3)],
+                Counter(a=5, b=5, c=5),
+            )
+            assert balanced_cell(*args) == preferred
 
 
 def test_cell_without_workers_of_a_pool_gets_nothing():
-    found = spread([Counter(a=3, b=3), Counter(a=4, b=4, c=3)], EVEN)
+    found = spread([Counter(a=3, b=3), Counter(a=4, b=4, c=3)], EVEN_ENGINES)
     assert found["c"] == 0
 
 
@@ -208,7 +220,9 @@
     st.dictionaries(st.sampled_from("abc"), st.integers(0, 30)),
     st.sampled_from("abc"),
 )
-def test_every_request_has_a_cell_whatever_is_left(pools, engines, home):
+def test_every_request_has_a_cell_for_any_set_of_workers(pools, engines, preferred):
     pools = [Counter(pool) for pool in pools]
-    found = {balanced_cell(f"r{n}", home, THREE, pools, Counter(engines)) for n in range(20)}
+    found = {
+        balanced_cell(f"r{n}", preferred, THREE_CELLS, pools, Counter(engines)) for n in range(20)
+    }
     assert found <= set("abc")
--- a/tests/passthrough/test_homes.py
+++ b/tests/passthrough/test_homes.py
@@ -1,4 +1,4 @@
-"""Where a stage is best made follows from where its inputs lie and who reads its results."""
+"""Test the preferred data centre of a stage, which follows from its inputs and its readers."""
 
 import asyncio
 from collections import Counter
@@ -13,7 +13,7 @@
 from traystall.registry.models import TargetReport
 from traystall.routes.models import StagePlan
 
-# A heavy stage beside a chain of three light ones, as the users' sites have them.
+# A heavy stage beside a chain of three light ones, as in users' pipelines.
 STAGES = (
     StagePlan("screen", (), 3_000_000),
     StagePlan("screen", (), 8_000),
@@ -23,43 +23,43 @@
 COUNTS = [2, 1, 8, 16]
 
 
-def home(index, inputs=None, read_at="a", counts=COUNTS):
+def locality(index, inputs=None, read_at="a", counts=COUNTS):
     return stage_locality(STAGES, counts, index, Counter(inputs or {}), read_at)
 
 
-def test_heavy_result_is_made_where_it_is_read():
-    assert home(0) == StageLocality("a", 3_000_000, 0, ())
+def test_stage_with_heavy_results_runs_where_they_are_read():
+    assert locality(0) == StageLocality("a", 3_000_000, 0, ())
 
 
-def test_first_stage_with_little_to_move_is_made_anywhere():
-    assert home(1) == StageLocality("", 0, 8 * 8_000, ("portal",))
+def test_light_first_stage_runs_anywhere():
+    assert locality(1) == StageLocality("", 0, 8 * 8_000, ("portal",))
 
 
-def test_stage_that_reads_little_is_made_anywhere_and_kept_together():
-    assert home(2, {"b": 8_000}) == StageLocality("", 0, 16 * 60_000, ("ledger",))
+def test_stage_with_light_inputs_runs_anywhere_but_in_one_data_centre():
+    assert locality(2, {"b": 8_000}) == StageLocality("", 0, 16 * 60_000, ("ledger",))
 
 
-def test_stage_follows_its_inputs_not_the_engine():
-    assert home(3, {"b": 480_000}, read_at="a") == StageLocality("b", 480_000, 0, ())
+def test_stage_runs_at_its_inputs_rather_than_at_the_engine():
+    assert locality(3, {"b": 480_000}, read_at="a") == StageLocality("b", 480_000, 0, ())
 
 
-def test_stage_follows_the_larger_part_of_its_inputs():
-    assert home(3, {"b": 120_000, "c": 360_000}, read_at="a").data_centre == "c"
+def test_stage_runs_at_the_largest_part_of_its_inputs():
+    assert locality(3, {"b": 120_000, "c": 360_000}, read_at="a").data_centre == "c"
 
 
-def test_stage_whose_readers_are_left_out_is_read_by_the_request():
-    assert home(2, {"b": 8_000}, "a", [2, 1, 8, 0]).data_centre == "a"
+def test_results_of_a_stage_without_readers_are_read_by_the_request():
+    assert locality(2, {"b": 8_000}, "a", [2, 1, 8, 0]).data_centre == "a"
 
 
-def test_nothing_known_means_anywhere():
-    assert home(3, {}, "").data_centre == ""
+def test_stage_without_known_inputs_runs_anywhere():
+    assert locality(3, {}, "").data_centre == ""
 
 
 CHAIN = (StagePlan("first", (), 1_000_000), StagePlan("second", (0,), 10))
 
 
-async def _staged_over_two_places():
-    """Return how many of 12 requests had both stages made in one data centre."""
+async def _run_staged_in_two_data_centres():
+    """Run 12 requests; return the answers and, by data centre, requests with both stages there."""
     runners = {
         (pool, place): await Runner(f"{pool}-{place}", batch=4).start()
         for pool in ("first", "second")
@@ -98,17 +98,17 @@
     return msgspec.structs.replace(routes, pools=tuple(pools))
 
 
-def test_later_stages_are_made_where_the_earlier_ones_were():
-    answers, places = run(_staged_over_two_places())
+def test_later_stages_run_in_the_data_centre_of_earlier_ones():
+    answers, places = run(_run_staged_in_two_data_centres())
     assert {status for status, _, _ in answers} == {200}
     together = places["here"] | places["there"]
     assert len(together) == 12
-    # No home is forced on the first stage: both data centres have work.
+    # The first stage prefers no data centre, so both data centres run some.
     assert places["here"]
     assert places["there"]
 
 
 @pytest.mark.parametrize("index", range(4))
-def test_a_home_is_never_named_without_bytes_that_speak_for_it(index):
-    found = home(index, {"b": 1}, read_at="")
+def test_data_centre_is_preferred_only_for_its_inputs(index):
+    found = locality(index, {"b": 1}, read_at="")
     assert found.data_centre in ("", "b")
--- a/tests/passthrough/test_owners.py
+++ b/tests/passthrough/test_owners.py
@@ -1,4 +1,7 @@
-"""One gateway owns a key in everyone's view, and ownership moves seldom."""
+"""Test that all gateways agree on the owner of a key, and that ownership moves rarely.
+
+The owner of a cell's key batches its pieces; the owner of a pool's key places its prompts.
+"""
 
 import asyncio
 
@@ -44,33 +47,33 @@
     return Clock
 
 
-def make(names="abcde"):
+def make_gateways(names="abcde"):
     directory = [row(name) for name in names]
     contexts = [Context(r.identity, list(directory)) for r in directory]
     return directory, [(Owners(context), context) for context in contexts]
 
 
-def test_all_agree(now):
-    _, all_owners = make()
-    assert len({owner_of(*pair) for pair in all_owners}) == 1
+def test_all_gateways_agree_on_the_owner(now):
+    _, all_gateways = make_gateways()
+    assert len({owner_of(*pair) for pair in all_gateways}) == 1
 
 
 def test_restarted_gateway_does_not_take_over_at_once(now):
-    directory, all_owners = make()
+    directory, all_gateways = make_gateways()
     first = rank(directory, "k", now.time)[0]
     name = first.split("/")[0]
-    again = row(name, started_at=now.time, life=2)
-    for owners, context in all_owners:
+    restarted = row(name, started_at=now.time, life=2)
+    for owners, context in all_gateways:
         owner_of(owners, context)
-        context.directory = [r for r in directory if r.identity != first] + [again]
-    others = [pair for pair in all_owners if pair[1].identity != first]
+        context.directory = [r for r in directory if r.identity != first] + [restarted]
+    others = [pair for pair in all_gateways if pair[1].identity != first]
     chosen = {owner_of(*pair) for pair in others}
-    assert len(chosen) == 1 and again.identity not in chosen and first not in chosen
+    assert len(chosen) == 1 and restarted.identity not in chosen and first not in chosen
 
 
-def test_gateway_missing_in_one_directory_is_remembered(now):
-    directory, all_owners = make()
-    owners, context = all_owners[0]
+def test_gateway_missing_from_one_directory_stays_owner_for_a_while(now):
+    directory, all_gateways = make_gateways()
+    owners, context = all_gateways[0]
     before = owner_of(owners, context)
     context.directory = [r for r in directory if r.identity == context.identity]
     assert owner_of(owners, context) == before
@@ -83,25 +86,25 @@
     ("error", "seconds"),
     [(RpcTimeout("silent"), 3), (RpcRefused(LEAVING, ""), 31)],
 )
-def test_gateway_that_does_not_serve_is_left_out_for_a_while(now, error, seconds):
-    directory, all_owners = make()
+def test_unavailable_gateway_is_excluded_for_a_while(now, error, seconds):
+    directory, all_gateways = make_gateways()
     first = rank(directory, "k", now.time)[0]
-    owners, context = next(pair for pair in all_owners if pair[1].identity != first)
+    owners, context = next(pair for pair in all_gateways if pair[1].identity != first)
     owners.on_error(first, error)
     assert owner_of(owners, context) != first
     now.time += seconds
     assert owner_of(owners, context) == first
 
 
-def test_all_new_gateways_choose_among_themselves(now):
+def test_new_gateways_own_keys_if_all_are_new(now):
     directory = [row(name, started_at=now.time) for name in "abc"]
     context = Context("a/1", directory)
     assert owner_of(Owners(context), context) in {"a/1", "b/1", "c/1"}
 
 
-def test_silent_gateways_put_their_data_centre_out(now):
-    directory, all_owners = make()
-    owners, context = all_owners[0]
+def test_two_silent_gateways_exclude_their_data_centre(now):
+    directory, all_gateways = make_gateways()
+    owners, context = all_gateways[0]
     context.places = DataCentreWatch("here too")
     order = rank(directory, "k", now.time)
     for identity in order[:2]:
@@ -112,17 +115,21 @@
     assert owner_of(owners, context) in order[2:]
 
 
-def test_batcher_that_says_it_is_too_late_at_the_last_moment_is_not_blamed():
-    """A stage that can't be made in time ends at both ends at once: its answer is waited for."""
+def test_late_reply_after_the_deadline_does_not_exclude_the_batcher():
+    """Guards against exclusion of a batcher that reports a late stage just after the deadline.
+
+    The stage times out at the batcher and at its caller at the same time, so the caller waits a
+    margin for the reply.
+    """
 
-    async def play():
+    async def scenario():
         batcher_seconds = []
 
         async def answer(request):
             if isinstance(request, ttypes.PingRequest):
                 return ttypes.PingReply(identity="owner/1")
             batcher_seconds.append(request.seconds_left)
-            # A little after the caller's own time is over, as over a link with a delay.
+            # Replies a little after the caller's deadline, as over a link with latency.
             await asyncio.sleep(request.seconds_left + 0.05)
             return ttypes.StageReply(handles=[""], reasons=["late"], retry_after=0.0)
 
@@ -131,27 +138,27 @@
         address = "{}:{}".format(*server._server.sockets[0].getsockname())
         async with EmulatedGateway(table(stages=STAGES), []) as gateway:
             owner = msgspec.structs.replace(row("owner"), rpc_address=address)
-            blamed = []
+            excluded = []
             gateway.context.owners.owner = lambda key, near=(): owner
-            gateway.context.owners.on_error = lambda *found: blamed.append(found)
+            gateway.context.owners.on_error = lambda *found: excluded.append(found)
             request = ttypes.StageRequest(
                 pool="batches", request_id="r", stage=0, pieces=[0], seconds_left=0.2, call_id="c"
             )
             reply = await gateway.context.batcher.run(request)
         await server.stop()
-        return reply, blamed, batcher_seconds
+        return reply, excluded, batcher_seconds
 
-    reply, blamed, seconds = run(play())
-    assert (reply.reasons, blamed, seconds) == (["late"], [], [0.2])
+    reply, excluded, seconds = run(scenario())
+    assert (reply.reasons, excluded, seconds) == (["late"], [], [0.2])
 
 
 class _Peer:
-    """Stand in for a gateway that batches: every piece is made, what it is told is kept."""
+    """Stand in for a gateway that batches and places; record the notifications it receives."""
 
     def __init__(self, name):
         self.name = name
-        self.told = []
-        self.places_on = ""
+        self.notifications = []
+        self.placed_target = ""
 
     async def start(self):
         self._server = RpcServer("127.0.0.1:0", "test", "", self._answer)
@@ -167,22 +174,26 @@
         if isinstance(request, ttypes.PingRequest):
             return ttypes.PingReply(identity=self.row.identity)
         if isinstance(request, ttypes.StageFreed):
-            self.told += request.handles
+            self.notifications += request.handles
             return None
         if isinstance(request, ttypes.PlaceRequest):
-            return ttypes.PlaceReply(identity=self.places_on)
+            return ttypes.PlaceReply(identity=self.placed_target)
         if isinstance(request, ttypes.PlaceNote):
-            self.told.append(request.what)
+            self.notifications.append(request.what)
             return None
         handles = [f"127.0.0.1:1/{self.name}{piece}" for piece in request.pieces]
         return ttypes.StageReply(handles=handles, reasons=[""] * len(handles), retry_after=0.0)
 
 
-@pytest.mark.parametrize("owner_at_the_end", ["other", "this gateway", "the same"])
-def test_who_batched_pieces_is_told_that_their_results_are_given_up(owner_at_the_end):
-    """It counts the room; told to another one, that room would seem taken until its lifetime."""
+@pytest.mark.parametrize("owner_at_release", ["other", "this gateway", "the same"])
+def test_gateway_that_batched_pieces_is_notified_of_freed_results(owner_at_release):
+    """Guards against a notification to the current batcher instead of the original one.
 
-    async def play():
+    The original batcher counts the results' memory. Without the notification it would count that
+    memory as used until the results expire.
+    """
+
+    async def scenario():
         first, other = await _Peer("first").start(), await _Peer("other").start()
         async with EmulatedGateway(table(stages=STAGES), []) as gateway:
             owners = {"other": other.row, "this gateway": None, "the same": first.row}
@@ -191,28 +202,31 @@
                 pool="batches", request_id="r", stage=0, pieces=[0, 1], seconds_left=2, call_id="c"
             )
             reply = await gateway.context.batcher.run(request)
-            gateway.context.owners.owner = lambda key, near=(): owners[owner_at_the_end]
+            gateway.context.owners.owner = lambda key, near=(): owners[owner_at_release]
             gateway.context.batcher.free("batches", reply.handles)
             async with asyncio.timeout(3):
-                while not first.told and not other.told:
+                while not first.notifications and not other.notifications:
                     await asyncio.sleep(0.01)
         await first.stop()
         await other.stop()
-        return reply.handles, first.told, other.told
+        return reply.handles, first.notifications, other.notifications
 
-    handles, first, other = run(play())
+    handles, first, other = run(scenario())
     assert (sorted(first), other) == (sorted(handles), [])
 
 
-def test_who_placed_a_request_is_told_what_became_of_it():
-    """Told to another one, the request would count as running for half a minute."""
+def test_gateway_that_placed_a_request_is_notified_of_its_outcome():
+    """Guards against a notification to the current placer instead of the original one.
+
+    Without it the original placer would count the request as running for half a minute.
+    """
 
-    async def play():
+    async def scenario():
         first, other = await _Peer("first").start(), await _Peer("other").start()
         engine = await Runner("e-1", events=3).start()
         engine.event_seconds = 0.05
         async with EmulatedGateway(table(), [("engine", engine)]) as gateway:
-            first.places_on = "e-1"
+            first.placed_target = "e-1"
             gateway.context.owners.owner = lambda key, near=(): first.row
             prompt = {"Traystall-Prompt-Parts": "aa:10,bb:5"}
             call = asyncio.create_task(gateway.call("/events/x", **prompt))
@@ -221,13 +235,13 @@
             gateway.context.owners.owner = lambda key, near=(): other.row
             status, _, _ = await call
             async with asyncio.timeout(3):
-                while len(first.told) + len(other.told) < 2:
+                while len(first.notifications) + len(other.notifications) < 2:
                     await asyncio.sleep(0.01)
         for peer in (first, other, engine):
             await peer.stop()
-        return status, first.told, other.told
+        return status, first.notifications, other.notifications
 
-    assert run(play()) == (200, ["started", "ended"], [])
+    assert run(scenario()) == (200, ["started", "ended"], [])
 
 
 def sized(name, size, data_centre="here"):
@@ -237,42 +251,42 @@
 KEYS = [f"k{number}" for number in range(60)]
 
 
-def test_the_largest_gateways_own_what_one_does_for_all(now):
+def test_largest_gateways_own_all_keys(now):
     rows = [
         *(sized(f"large{n}", 1.25) for n in range(4)),
         *(sized(f"s{n}", 0.375) for n in "abcdef"),
     ]
     owners = [rank(rows, key, now.time)[0] for key in KEYS]
     assert {owner.rstrip("0123456789/") for owner in owners} == {"large"}
-    assert len(set(owners)) == 4, "they share it"
+    assert len(set(owners)) == 4, "all large gateways own some keys"
 
 
-def test_small_ones_follow_when_the_large_ones_are_gone(now):
+def test_small_gateways_own_keys_only_without_large_ones(now):
     rows = [sized("large", 1.25), *(sized(f"s{n}", 0.375) for n in "abc")]
     for key in KEYS:
         order = rank(rows, key, now.time)
         assert order[1:] == rank(rows[1:], key, now.time)
 
 
-def test_a_gateway_of_an_earlier_release_counts_as_the_smallest(now):
+def test_gateway_that_reports_no_size_counts_as_smallest(now):
     rows = [sized("old", 0.0), sized("new", 0.375)]
     assert {rank(rows, key, now.time)[0] for key in KEYS} == {"new/1"}
 
 
 @pytest.mark.parametrize("sizes", [(0.0, 0.0, 0.0), (0.5, 0.5, 0.5), (0.5, 0.45, 0.4)])
-def test_gateways_about_alike_own_as_if_none_had_said(sizes, now):
+def test_gateways_of_similar_size_own_keys_as_if_of_equal_size(sizes, now):
     rows = [sized(name, size) for name, size in zip("abc", sizes, strict=True)]
     plain = [row(name) for name in "abc"]
     assert all(rank(rows, key, now.time) == rank(plain, key, now.time) for key in KEYS)
 
 
-def test_place_goes_before_size(now):
+def test_data_centre_goes_before_size(now):
     rows = [sized("far", 9.0, "there"), sized("near", 0.1)]
     assert rank(rows, "k", now.time, ("here",)) == ["near/1"]
 
 
-def test_restarts_in_turn_move_little(now):
-    """At 72 gateways of three sizes a restart moves only what the restarted one owned."""
+def test_restart_moves_only_the_keys_of_the_restarted_gateway(now):
+    """With 72 gateways of three sizes, a restart moves only the keys of the restarted gateway."""
     rows = [sized(f"g{n}", (0.375, 0.75, 1.25)[n % 3]) for n in range(72)]
     before = {key: rank(rows, key, now.time)[0] for key in KEYS}
     for gone in rows:
--- a/tests/passthrough/test_whole_path.py
+++ b/tests/passthrough/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path without the platform: control daemons, gateways, targets that register."""
+"""Test control daemons, gateways and registered targets together, without the platform."""
 
 import asyncio
 
@@ -6,8 +6,8 @@
 from traystall.rpc.gen.wire.ttypes import EvacuateRequest, StatusRequest
 
 
-def test_requests_of_every_kind_are_served_at_every_gateway(tmp_path):
-    async def story(site):
+def test_every_gateway_serves_requests_of_every_route(tmp_path):
+    async def scenario(site):
         assert (await site.call(0, "/plain/x"))[0] == 503
         await site.group.apply_entities("a", 1, entities())
         await site.add("plain")
@@ -19,11 +19,11 @@
             assert (status, body.count(b"id: ")) == (200, 4)
         assert (await site.call(1, "/none/"))[0] == 404
 
-    play(tmp_path, story)
+    play(tmp_path, scenario)
 
 
-def test_leaving_targets_get_nothing_more_wherever_they_said_so(tmp_path):
-    async def story(site):
+def test_draining_target_gets_no_requests_from_any_gateway(tmp_path):
+    async def scenario(site):
         await site.group.apply_entities("a", 1, entities())
         first = await site.add("plain")
         await site.until_all("/plain/x", 200)
@@ -42,19 +42,19 @@
             assert (await site.call(turn % 2, "/plain/x"))[0] == 200
         assert len(first.runs) == before
 
-    play(tmp_path, story)
+    play(tmp_path, scenario)
 
 
-def test_new_revision_is_in_force_everywhere_with_the_leader_lost(tmp_path):
-    async def story(site):
+def test_new_revision_reaches_all_gateways_after_the_leader_is_lost(tmp_path):
+    async def scenario(site):
         await site.group.apply_entities("a", 1, entities())
         await site.add("plain")
         other = await site.add("other")
         await site.until_all("/plain/x", 200)
         leader = next(name for name, d in site.group.daemons.items() if d is site.group.leader())
         await site.group.stop(leader)
-        survivor = next(iter(site.group.daemons))
-        await site.group.apply_entities(survivor, 2, entities(pool="other"))
+        remaining = next(iter(site.group.daemons))
+        await site.group.apply_entities(remaining, 2, entities(pool="other"))
         async with asyncio.timeout(20):
             while any(g.gateway_context.index.number < 2 for g in site.gateways):
                 await asyncio.sleep(0.02)
@@ -62,31 +62,31 @@
             assert (await site.call(number, "/plain/x"))[0] == 200
         assert len(other.runs) == 2
 
-    play(tmp_path, story)
+    play(tmp_path, scenario)
 
 
-def test_unreadable_report_is_refused_with_its_fault(tmp_path):
-    async def story(site):
+def test_unreadable_report_is_refused_with_a_reason(tmp_path):
+    async def scenario(site):
         url = f"http://{site.group.http['a']}/v1/targets/t"
         for body in (b"{", b"{}", b'{"pool": "p", "address": "x", "state": "dancing"}'):
             async with site.session.put(url, data=body) as response:
                 assert response.status == 400
                 assert "can't be read" in (await response.json())["error"]
 
-    play(tmp_path, story)
+    play(tmp_path, scenario)
 
 
-async def order(site, name, evacuated, place="here"):
-    request = EvacuateRequest(data_centre=place, evacuated=evacuated, operator="ana")
+async def evacuate_data_centre(site, name, evacuated, data_centre="here"):
+    request = EvacuateRequest(data_centre=data_centre, evacuated=evacuated, operator="ana")
     return await site.group.daemons[name].leader.call(request, 5.0)
 
 
-def test_evacuation_is_in_force_at_every_gateway_also_at_one_that_starts_later(tmp_path):
-    async def story(site):
+def test_evacuation_reaches_all_gateways_and_one_that_starts_later(tmp_path):
+    async def scenario(site):
         await site.group.apply_entities("a", 1, entities())
         plain = await site.add("plain")
         await site.until_all("/plain/x", 200)
-        await order(site, "b", True)
+        await evacuate_data_centre(site, "b", True)
         await site.until_all("/plain/x", 503)
         await site.start_gateway(2)
         await site.until_all("/plain/x", 503)
@@ -95,29 +95,32 @@
         assert len(plain.runs) == ran
         status = await site.group.daemons["a"].leader.call(StatusRequest(), 2.0)
         assert {g.evacuation_version for g in status.gateways} == {1}
-        await order(site, "c", False)
+        await evacuate_data_centre(site, "c", False)
         await site.until_all("/plain/x", 200)
 
-    play(tmp_path, story)
+    play(tmp_path, scenario)
 
 
-def test_evacuation_reaches_gateways_with_the_leader_lost(tmp_path):
-    async def story(site):
+def test_evacuation_reaches_gateways_after_the_leader_is_lost(tmp_path):
+    async def scenario(site):
         await site.group.apply_entities("a", 1, entities())
         await site.add("plain")
         await site.until_all("/plain/x", 200)
         leader = next(name for name, d in site.group.daemons.items() if d is site.group.leader())
         await site.group.stop(leader)
-        await order(site, next(iter(site.group.daemons)), True)
+        await evacuate_data_centre(site, next(iter(site.group.daemons)), True)
         await site.until_all("/plain/x", 503)
 
-    play(tmp_path, story)
+    play(tmp_path, scenario)
 
 
-def test_gateway_that_knows_it_is_behind_denies_nothing_for_good(tmp_path):
-    """A newer revision may have the route or the key; what is in force already is served."""
+def test_gateway_behind_a_revision_refuses_only_temporarily(tmp_path):
+    """Guards against 404 and 401 for a route or key that a newer revision may contain.
 
-    async def story(site):
+    Routes of the revision in force are served meanwhile.
+    """
+
+    async def scenario(site):
         await site.group.apply_entities("a", 1, entities())
         await site.add("plain")
         await site.until_all("/plain/x", 200)
@@ -133,4 +136,4 @@
                 await asyncio.sleep(0.02)
         assert (await site.call(0, "/none/"))[0] == 404
 
-    play(tmp_path, story)
+    play(tmp_path, scenario)
