--- a/traystall/passthrough/stages/batching.py
+++ b/traystall/passthrough/stages/batching.py
@@ -10,7 +10,7 @@
 
 from traystall.routes.models import BatchProfile
 
-# A piece that is overdue by more than this is unlikely to meet its request's deadline.
+# A piece that is overdue by more than this is unlikely to meet its request's latency goal.
 _MAX_LATENESS_SECONDS = 0.25
 # A pool is crowded when more pieces wait than this ratio of what all its targets take at once.
 _CROWDED_RATIO = 0.4
