--- a/traystall/passthrough/stages/batcher.py
+++ b/traystall/passthrough/stages/batcher.py
@@ -14,7 +14,11 @@
 from traystall.core import clock, metrics
 from traystall.core.exceptions import RpcError
 from traystall.core.logs import decision
-from traystall.passthrough.admission.book import AdmissionBook, Arrival, Verdict
+from traystall.passthrough.admission.controller import (
+    AdmissionController,
+    AdmissionDecision,
+    AdmissionRequest,
+)
 from traystall.passthrough.context import PassContext
 from traystall.passthrough.stages.cells import cell_of
 from traystall.passthrough.stages.homes import StageLocality, stage_locality
@@ -59,12 +63,12 @@
         # Keyed by cell and pool.
         self._queues: dict[tuple[str, str], PieceQueue] = {}
         # Keyed by cell.
-        self._books: dict[str, AdmissionBook] = {}
+        self._books: dict[str, AdmissionController] = {}
         # Keyed by cell: the last known waits of its shared pools in seconds, and when they came in.
         self._queue_waits: dict[str, tuple[dict[str, float], float]] = {}
         # Ids of stage calls whose requests wait for admission.
         self._awaiting_admission: set[str] = set()
-        self._releases = ResultReleases(context, links, self.freed_here)
+        self._releases = ResultReleases(context, links, self.on_results_freed)
         self._tasks: set[asyncio.Task] = set()
 
     async def run(self, request: StageRequest) -> StageReply:
@@ -84,9 +88,9 @@
                 self._queue_waits[self._cell(request)] = (reply.waits, clock.monotonic())
             return reply
         self._attach_queue_waits(request)
-        return await self.run_here(request)
+        return await self.run_locally(request)
 
-    def waits_told(self) -> dict[str, dict[str, float]]:
+    def latest_queue_waits(self) -> dict[str, dict[str, float]]:
         """Return the waits of shared pools in seconds that batchers last reported, by cell."""
         return {cell: waits for cell, (waits, _) in self._queue_waits.items()}
 
@@ -107,12 +111,12 @@
             why=str(error),
         )
 
-    async def run_here(self, request: StageRequest) -> StageReply:
+    async def run_locally(self, request: StageRequest) -> StageReply:
         """Batch the pieces of one stage at this gateway, or refuse a request that starts."""
         cell = self._cell(request)
         if request.waits:
             age = request.waits_age or 0.0
-            self._book(cell).take_over(request.waits, age, clock.monotonic())
+            self._book(cell).merge_peer_waits(request.waits, age, clock.monotonic())
         verdict = await self._wait_for_admission(request, cell)
         if not verdict.admitted:
             backoff = self._backoff_seconds(request)
@@ -125,7 +129,7 @@
                 waits=self._book(cell).waits(clock.monotonic()) or None,
             )
         book = self._book(cell)
-        book.asked(request.request_id, request.stage)
+        book.requested(request.request_id, request.stage)
         reply = await self._queue(cell, request.pool).run(request, self._locality(request))
         now = clock.monotonic()
         reply.waits = book.waits(now) or None
@@ -135,14 +139,14 @@
 
     def _backoff_seconds(self, request) -> float:
         """Return the seconds until no pool of a request has all targets in backoff, or 0."""
-        route = self._context.index.named(request.route)
+        route = self._context.index.route_named(request.route)
         pools = {stage.pool for stage in route.stages} if route is not None else set()
         places = tuple(request.places or ())
-        return max((self._context.rest_left(pool, places) for pool in pools), default=0.0)
+        return max((self._context.backoff_left(pool, places) for pool in pools), default=0.0)
 
     def _locality(self, request) -> StageLocality:
         """Return the preferred data centre of a stage by its inputs and its results' readers."""
-        route = self._context.index.named(request.route)
+        route = self._context.index.route_named(request.route)
         counts = request.counts or []
         if route is None or len(counts) != len(route.stages):
             return StageLocality(request.data_centre or "", request.away_bytes or 0)
@@ -168,7 +172,7 @@
 
     def _usual_seconds(self, request) -> float:
         """Return the duration of a request's longest chain of stages without queueing."""
-        route = self._context.index.named(request.route)
+        route = self._context.index.route_named(request.route)
         if route is None:
             return 0.0
         ends: list[float] = []
@@ -198,7 +202,7 @@
         """Answer a health check."""
         return PingReply(identity=self._context.identity)
 
-    def freed_here(self, pool: str, handles: list[str]) -> None:
+    def on_results_freed(self, pool: str, handles: list[str]) -> None:
         """Count results of a pool as freed in the queues of this gateway."""
         for (_, name), queue in self._queues.items():
             if name == pool:
@@ -214,10 +218,10 @@
         while clock.monotonic() < deadline and any(q.is_busy() for q in self._queues.values()):
             await asyncio.sleep(0.02)
 
-    def pump(self) -> None:
+    def dispatch(self) -> None:
         """Dispatch waiting pieces to targets that are free or new."""
         for queue in self._queues.values():
-            queue.pump()
+            queue.dispatch()
 
     def close(self) -> None:
         """Cancel the background tasks."""
@@ -270,7 +274,7 @@
 
     # ---- batching at this gateway ----
 
-    async def _wait_for_admission(self, request, cell) -> Verdict:
+    async def _wait_for_admission(self, request, cell) -> AdmissionDecision:
         """Return the verdict on a request; a request that is refused at first may wait a while."""
         verdict = self._admit(request, cell, 0.0)
         if verdict.admitted or request.refuse_at_once:
@@ -278,7 +282,7 @@
         began = clock.monotonic()
         patience = self._max_admission_wait(request, verdict)
         waited = 0.0
-        if self._backoff_seconds(request) > patience or verdict.seconds_to_turn > patience:
+        if self._backoff_seconds(request) > patience or verdict.seconds_to_admission > patience:
             # The request can't be admitted within the wait that it is allowed.
             self._record_refusal(request, cell, verdict, waited)
             return verdict
@@ -306,11 +310,11 @@
         """
         if verdict.came_back and not verdict.shared:
             return (request.seconds_left or 0.0) * _RETRY_WAIT_RATIO
-        route = self._context.index.named(request.route)
+        route = self._context.index.route_named(request.route)
         return route.aim * _ADMISSION_WAIT_RATIO if route is not None else 0.0
 
     def _record_refusal(self, request, cell, verdict, waited):
-        self._book(cell).refuse(request.mark or "", clock.monotonic())
+        self._book(cell).record_refusal(request.mark or "", clock.monotonic())
         metrics.not_admitted_total.inc({"route": request.route or "", "pool": verdict.binding})
         decision(
             "not-admitted",
@@ -330,12 +334,12 @@
             retry_after=round(verdict.retry_after, 3),
         )
 
-    def _admit(self, request, cell, waited) -> Verdict:
-        route = self._context.index.named(request.route)
+    def _admit(self, request, cell, waited) -> AdmissionDecision:
+        route = self._context.index.route_named(request.route)
         if route is None or len(request.counts or ()) != len(route.stages):
-            return Verdict(True, 0.0)
+            return AdmissionDecision(True, 0.0)
         now = clock.monotonic()
-        arrival = Arrival(
+        arrival = AdmissionRequest(
             request_id=request.request_id,
             route=route,
             counts=tuple(request.counts),
@@ -356,8 +360,8 @@
                 metrics.shared_pool_wait.set({"pool": pool}, wait)
         return verdict
 
-    def _book(self, cell) -> AdmissionBook:
-        return self._books.setdefault(cell, AdmissionBook())
+    def _book(self, cell) -> AdmissionController:
+        return self._books.setdefault(cell, AdmissionController())
 
     def _end_request(self, request_id):
         for book in self._books.values():
--- a/traystall/passthrough/stages/batching.py
+++ b/traystall/passthrough/stages/batching.py
@@ -153,7 +153,7 @@
     return not is_too_late and first.due <= now + wait + _MIN_SLACK_SECONDS
 
 
-def take_batch(
+def select_batch(
     waiting: list[PieceJob],
     profile: BatchProfile,
     free_bytes: float,
--- a/traystall/passthrough/stages/cells.py
+++ b/traystall/passthrough/stages/cells.py
@@ -15,7 +15,7 @@
 from traystall.systems.rendezvous import rendezvous_order
 
 # The cell of all data centres, for a system that is not divided.
-WHOLE = ""
+WHOLE_SYSTEM = ""
 # A pool needs this many workers per cell on average, and this many in total before any split: with
 # three workers a split into two cells would leave one worker with half of the pieces.
 _WORKERS_PER_CELL = 1.5
@@ -43,7 +43,7 @@
         for name, inside in self.members.items():
             if data_centre in inside:
                 return name
-        return WHOLE
+        return WHOLE_SYSTEM
 
 
 def batching_cells(pools: Iterable[Counter[str]]) -> Cells:
@@ -64,7 +64,7 @@
 def cell_of(request_id: str, data_centre: str, cells: Cells) -> str:
     """Return the cell that runs the pieces of a request whose results `data_centre` reads."""
     if not cells:
-        return WHOLE
+        return WHOLE_SYSTEM
     return cells.of(data_centre) or rendezvous_order(request_id, cells.names())[0]
 
 
@@ -120,14 +120,14 @@
     return {name: part / whole for name, part in smallest.items()} if whole else {}
 
 
-def other_cell(request_id: str, tried: str, cells: Cells, places: tuple[str, ...]) -> str:
+def fallback_cell(request_id: str, tried: str, cells: Cells, places: tuple[str, ...]) -> str:
     """Return a cell to try after `tried`, within `places` if any are given, or else WHOLE."""
     left = [
         name
         for name, inside in cells.members.items()
         if name != tried and (not places or set(inside).intersection(places))
     ]
-    return rendezvous_order(request_id, left)[0] if left else WHOLE
+    return rendezvous_order(request_id, left)[0] if left else WHOLE_SYSTEM
 
 
 def _have_enough_workers(groups, pools):
--- a/traystall/passthrough/stages/pace.py
+++ b/traystall/passthrough/stages/pace.py
@@ -13,7 +13,7 @@
 _SPACING_RATIO = 0.8
 
 
-def begins_at(
+def next_call_time(
     last_began: float, call_seconds: float, targets: int, waiting: int, batch: int
 ) -> float:
     """Return the earliest start of the next call of a pool.
--- a/traystall/passthrough/stages/piece_queue.py
+++ b/traystall/passthrough/stages/piece_queue.py
@@ -14,10 +14,10 @@
 from traystall.passthrough.admission.forecast import PoolLoad
 from traystall.passthrough.dialect import PieceResult
 from traystall.passthrough.exceptions import ConnectionBroken, ExchangeError, TargetHeldBack
-from traystall.passthrough.stages.batching import FreeTarget, PieceJob, isolate, take_batch
-from traystall.passthrough.stages.cells import WHOLE
+from traystall.passthrough.stages.batching import FreeTarget, PieceJob, isolate, select_batch
+from traystall.passthrough.stages.cells import WHOLE_SYSTEM
 from traystall.passthrough.stages.homes import StageLocality
-from traystall.passthrough.stages.pace import begins_at
+from traystall.passthrough.stages.pace import next_call_time
 from traystall.passthrough.stages.piece_calls import FULL, UNREACHABLE, call_worker
 from traystall.passthrough.stages.result_memory_watch import ResultMemoryWatch
 from traystall.passthrough.stages.stage_call import MAX_TARGET_ENDS, StageCall, to_job
@@ -52,7 +52,7 @@
     A queue of a cell calls targets outside the cell's data centres only if the cell has none.
     """
 
-    def __init__(self, context, pool: str, cell: str = WHOLE):
+    def __init__(self, context, pool: str, cell: str = WHOLE_SYSTEM):
         self._context = context
         self._pool = pool
         self._cell = cell
@@ -63,7 +63,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._is_dispatch_scheduled = False
         self._created_at = clock.monotonic()
-        self._memory_watch = ResultMemoryWatch(context, self.pump)
+        self._memory_watch = ResultMemoryWatch(context, self.dispatch)
         # Requests with isolated pieces in flight; each of them has at most one call at a time.
         self._isolated_requests: set[str] = set()
         # The cached rate of the pool in pieces per second, and when it was computed.
@@ -88,7 +88,7 @@
         self._calls[request.call_id] = call
         self._context.budget(self._pool).on_request(now)
         self._waiting += [to_job(request, locality, piece, now) for piece in request.pieces]
-        self.pump()
+        self.dispatch()
         try:
             async with asyncio.timeout(max(0.0, request.seconds_left)):
                 await call.done
@@ -116,7 +116,7 @@
             worker = self._workers.get(self._context.stage_dialect.worker(handle))
             if worker is not None:
                 worker.book.free(handle, clock.monotonic())
-        self.pump()
+        self.dispatch()
 
     def is_busy(self) -> bool:
         """Return whether any stage call waits for pieces of this queue."""
@@ -147,9 +147,9 @@
         profile = self._profile()
         if profile is None:
             return 0.0
-        return self._rate_of(self._usable(closed_too=True), profile, now)
+        return self._rate_of(self._usable(include_closed=True), profile, now)
 
-    def pump(self) -> None:
+    def dispatch(self) -> None:
         """Schedule the next call of every free target, once per iteration of the event loop.
 
         One dispatch takes 1 to 4 ms with 500 to 2,000 pieces waiting, and a burst brings hundreds
@@ -189,7 +189,7 @@
             waiting = [
                 job for job in self._waiting if job.request_id not in self._isolated_requests
             ]
-            batch = isolate(take_batch(waiting, profile, free_bytes, now, target, started))
+            batch = isolate(select_batch(waiting, profile, free_bytes, now, target, started))
             if batch:
                 self._start_call(view, worker, batch, profile, now)
         if self._waiting:
@@ -202,14 +202,16 @@
         # Calls of slow targets take longer, but must not keep the other targets idle.
         usual = min(self._call_seconds or profile.seconds(1), profile.seconds(profile.batch))
         waiting = len(self._waiting)
-        return begins_at(self._last_began, usual, workers, waiting, profile.batch) - now
+        return next_call_time(self._last_began, usual, workers, waiting, profile.batch) - now
 
     def _fail_beyond_backoff(self, now):
         """Fail stage calls early if the backoff of all their targets ends after the deadline."""
-        if not any(view.asked.rests(now) for view in self._context.board.pool(self._pool)):
+        if not any(
+            view.availability.is_backing_off(now) for view in self._context.board.pool(self._pool)
+        ):
             return
         places = {job.places for job in self._waiting}
-        backoffs = {named: self._context.rest_left(self._pool, named) for named in places}
+        backoffs = {named: self._context.backoff_left(self._pool, named) for named in places}
         for job in self._waiting:
             call = self._calls.get(job.call_id)
             backoff = backoffs[job.places]
@@ -217,7 +219,7 @@
                 call.retry_after = self._context.after_rest(backoff)
                 call.close(job.piece, "", RESTING)
 
-    def _usable(self, closed_too=False):
+    def _usable(self, include_closed=False):
         """Return the targets that may be called: those of the cell, or of all cells if it has none.
 
         A target whose rate limit is used up for the moment still counts as a target of its cell:
@@ -225,8 +227,8 @@
         """
         context, pool = self._context, self._pool
         inside = context.cells().data_centres(self._cell)
-        places = inside if context.usable(pool, inside, closed_too=True) else ()
-        return context.usable(pool, places, closed_too)
+        places = inside if context.usable(pool, inside, include_closed=True) else ()
+        return context.usable(pool, places, include_closed)
 
     def _rate_of(self, views, profile, now):
         """Return how many pieces per second targets run, within their rate limits."""
@@ -253,7 +255,7 @@
     def _rates_by_data_centre(self, profile, now) -> dict[str, float]:
         """Return for each data centre how many pieces per second its targets run."""
         found: dict[str, list] = {}
-        for view in self._usable(closed_too=True):
+        for view in self._usable(include_closed=True):
             found.setdefault(view.report.data_centre, []).append(view)
         return {
             data_centre: self._rate_of(views, profile, now) for data_centre, views in found.items()
@@ -280,7 +282,7 @@
             for view, worker in known
             if worker.calls < profile.slots
             and now >= max(view.avoid_until, worker.memory_wait_until)
-            and self._context.cold.may_send(view, for_all=batches_for_all)
+            and self._context.cold.may_send(view, as_coordinator=batches_for_all)
             and worker.is_worth_calling(profile, len(self._waiting), healthy, now)
         ]
         return sorted(free, key=lambda pair: (pair[1].ratio, pair[0].identity))
@@ -298,7 +300,7 @@
         self._last_began = now
         # Counted here and not in the task, because the target would look free until the task runs.
         worker.began(now, size, profile.seconds(len(batch)))
-        self._context.cold.note_sent(view)
+        self._context.cold.record_sent(view)
         self._spawn(self._run_call(view, worker, batch, profile, size))
 
     def _pin_to_data_centre(self, batch, data_centre):
@@ -318,10 +320,10 @@
         )
         try:
             results = await call_worker(self._context, view, batch, expected)
-            self._context.places.on_heard(view.report.data_centre)
+            self._context.places.on_response(view.report.data_centre)
             now = clock.monotonic()
             seconds = now - began
-            worker.learn(seconds, expected)
+            worker.update_ratio(seconds, expected)
             view.on_success(seconds, now)
             self._call_seconds += _CALL_SECONDS_WEIGHT * (seconds - (self._call_seconds or seconds))
             self._call_seconds = self._call_seconds or seconds
@@ -356,7 +358,7 @@
             expected=round(expected, 4),
             made=sum(1 for result in results if result.handle),
         )
-        self.pump()
+        self.dispatch()
 
     async def _check_target_end(self, view, batch, error):
         """Check whether a target ended while it ran a batch; if so, isolate the batch's requests.
@@ -367,7 +369,7 @@
         connection_broke = isinstance(error, ConnectionBroken) and error.sent and not error.silent
         if not connection_broke or not view.is_ready:
             return
-        target = view.watched(lambda: self._context.board.sign_of_end(view))
+        target = view.watched(lambda: self._context.board.end_evidence(view))
         if not await self._context.guard.ends.has_ended(target):
             return
         calls = {job.call_id for job in batch}
@@ -379,7 +381,7 @@
 
     def _send_hedge(self, view, worker, batch, expected):
         """Queue copies of the pieces of an overdue call; the first result of each piece counts."""
-        worker.learn(overdue_after(expected, True), expected)
+        worker.update_ratio(overdue_after(expected, True), expected)
         hedges = [
             msgspec.structs.replace(job, tries=job.tries + 1)
             for job in batch
@@ -389,7 +391,7 @@
         if allowed:
             decision("pieces-overdue", target=view.identity, pieces=len(allowed))
             self._waiting += allowed
-            self.pump()
+            self.dispatch()
 
     def _is_open(self, job) -> bool:
         call = self._calls.get(job.call_id)
@@ -416,7 +418,7 @@
             worker.is_memory_known = False
             view.avoid_until = max(view.avoid_until, now + _REFUSAL_PAUSE_SECONDS)
         else:
-            worker.book.on_taken()
+            worker.book.on_accepted()
         if unused:
             self._context.batcher.free(self._pool, unused)
 
@@ -452,7 +454,7 @@
 
     def _on_timer(self):
         self._timer = None
-        self.pump()
+        self.dispatch()
 
     def _spawn(self, coroutine):
         task = asyncio.create_task(coroutine)
--- a/traystall/passthrough/stages/result_memory_watch.py
+++ b/traystall/passthrough/stages/result_memory_watch.py
@@ -57,7 +57,9 @@
         now = clock.monotonic()
         worker.is_memory_known = True
         worker.memory_wait_until = float("-inf")
-        foreign = worker.book.note_free(free, profile.room_bytes, now, profile.result_lifetime)
+        foreign = worker.book.record_free_bytes(
+            free, profile.room_bytes, now, profile.result_lifetime
+        )
         if foreign:
             decision("room", target=view.identity, free=free, foreign=foreign)
         self._on_answer()
--- a/traystall/passthrough/stages/room.py
+++ b/traystall/passthrough/stages/room.py
@@ -8,7 +8,7 @@
 _MEAN_WEIGHT = 0.03
 
 
-class RoomBook:
+class ResultMemory:
     """Count the memory in use at one worker.
 
     Calls in flight count as a whole, results one by one until they are freed or expire.
@@ -26,7 +26,7 @@
         self._foreign = 0
         self._foreign_until = float("-inf")
 
-    def note_free(self, free: int, capacity_bytes: int, now: float, lifetime: float) -> int:
+    def record_free_bytes(self, free: int, capacity_bytes: int, now: float, lifetime: float) -> int:
         """Record the free memory that the worker reports; return what other gateways hold there."""
         self._foreign = 0
         self._foreign = max(0, capacity_bytes - free - self.taken(now))
@@ -67,7 +67,7 @@
         """Use less memory, because the worker had less free memory than was counted."""
         self.share = max(_MIN_USABLE_RATIO, self.share * _SHRINK_FACTOR)
 
-    def on_taken(self) -> None:
+    def on_accepted(self) -> None:
         """Use a little more memory again."""
         self.share = min(1.0, self.share + _GROWTH_STEP)
 
--- a/traystall/passthrough/stages/workers.py
+++ b/traystall/passthrough/stages/workers.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from traystall.passthrough.stages.room import RoomBook
+from traystall.passthrough.stages.room import ResultMemory
 from traystall.routes.models import BatchProfile
 
 # A target whose calls take this many times their expected duration is slow: it gets a call only if
@@ -29,7 +29,7 @@
     `ratio` is the moving average of actual to expected call duration.
     """
 
-    book: RoomBook = msgspec.field(default_factory=RoomBook)
+    book: ResultMemory = msgspec.field(default_factory=ResultMemory)
     calls: int = 0
     ratio: float = 1.0
     last_began: float = float("-inf")
@@ -57,7 +57,7 @@
         """Return the expected seconds until the target can take another call."""
         return max(0.0, self.busy_until - now) if self.calls >= slots else 0.0
 
-    def learn(self, seconds: float, expected: float) -> None:
+    def update_ratio(self, seconds: float, expected: float) -> None:
         """Update the slowdown from the actual and expected duration of a call."""
         found = seconds / max(0.001, expected)
         weight = _SLOWER_CALL_WEIGHT if found > self.ratio else _FASTER_CALL_WEIGHT
