--- a/traystall/passthrough/stages/cells.py
+++ b/traystall/passthrough/stages/cells.py
@@ -35,11 +35,11 @@
         return list(self.members)
 
     def data_centres(self, cell: str) -> tuple[str, ...]:
-        """Return the data centres of a cell; none for WHOLE or for a cell that no longer exists."""
+        """Return the data centres of a cell; none for WHOLE_SYSTEM or for a cell that no longer exists."""
         return self.members.get(cell, ())
 
     def of(self, data_centre: str) -> str:
-        """Return the cell to which a data centre belongs; WHOLE if it belongs to none."""
+        """Return the cell to which a data centre belongs; WHOLE_SYSTEM if it belongs to none."""
         for name, inside in self.members.items():
             if data_centre in inside:
                 return name
@@ -121,7 +121,7 @@
 
 
 def fallback_cell(request_id: str, tried: str, cells: Cells, places: tuple[str, ...]) -> str:
-    """Return a cell to try after `tried`, within `places` if any are given, or else WHOLE."""
+    """Return a cell to try after `tried`, within `places` if any are given, or WHOLE_SYSTEM."""
     left = [
         name
         for name, inside in cells.members.items()
--- a/traystall/passthrough/stages/result_memory_watch.py
+++ b/traystall/passthrough/stages/result_memory_watch.py
@@ -70,7 +70,7 @@
         async with Attempt(view, self._context.names, None, is_work=False) as attempt:
             await attempt.open(float("inf"))
             attempt.send(request_bytes(dialect.report(), view.report.address, headers))
-            answer = await attempt.read_whole()
+            answer = await attempt.read_response()
         if answer.head.status != 200:
             raise ValueError(f"The target answered {answer.head.status}.")
         return dialect.free_bytes(answer.body)
