--- a/traystall/passthrough/stages/batcher.py
+++ b/traystall/passthrough/stages/batcher.py
@@ -177,10 +177,10 @@
             return 0.0
         ends: list[float] = []
         for index, stage in enumerate(route.stages):
-            begins = max((ends[earlier] for earlier in stage.after), default=0.0)
+            start = max((ends[earlier] for earlier in stage.after), default=0.0)
             count = request.counts[index] if request.counts else 0
             own = self._context.usual_stage_seconds(stage.pool) if count else 0.0
-            ends.append(begins + own)
+            ends.append(start + own)
         return max(ends, default=0.0)
 
     def cancel(self, call_id: str, request_id: str) -> None:
@@ -279,11 +279,11 @@
         verdict = self._admit(request, cell, 0.0)
         if verdict.admitted or request.refuse_at_once:
             return verdict
-        began = clock.monotonic()
+        started_at = clock.monotonic()
         patience = self._max_admission_wait(request, verdict)
         waited = 0.0
         if self._backoff_seconds(request) > patience or verdict.seconds_to_admission > patience:
-            # The request can't be admitted within the wait that it is allowed.
+            # The request can't be admitted within its allowed wait.
             self._record_refusal(request, cell, verdict, waited)
             return verdict
         self._awaiting_admission.add(request.call_id)
@@ -293,7 +293,7 @@
                     self._record_refusal(request, cell, verdict, waited)
                     break
                 await asyncio.sleep(_ADMISSION_POLL_SECONDS)
-                waited = clock.monotonic() - began
+                waited = clock.monotonic() - started_at
                 verdict = self._admit(request, cell, waited)
         finally:
             self._awaiting_admission.discard(request.call_id)
@@ -339,7 +339,7 @@
         if route is None or len(request.counts or ()) != len(route.stages):
             return AdmissionDecision(True, 0.0)
         now = clock.monotonic()
-        arrival = AdmissionRequest(
+        admission_request = AdmissionRequest(
             request_id=request.request_id,
             route=route,
             counts=tuple(request.counts),
@@ -353,7 +353,7 @@
         pools = {stage.pool for stage in route.stages}
         loads = {pool: self._queue(cell, pool).load(now) for pool in pools}
         book = self._book(cell)
-        verdict = book.admit(arrival, loads, now, self._context.shared_pools())
+        verdict = book.admit(admission_request, loads, now, self._context.shared_pools())
         if verdict.shared:
             metrics.shared_part.set({"route": route.name}, verdict.part)
             for pool, wait in book.waits(now).items():
--- a/traystall/passthrough/stages/batching.py
+++ b/traystall/passthrough/stages/batching.py
@@ -117,10 +117,10 @@
         if job.data_centre:
             return self._wait_in(job.data_centre, ahead)
         other_data_centres = [
-            place for place in self.waits_by_data_centre if place != self.data_centre
+            other for other in self.waits_by_data_centre if other != self.data_centre
         ]
         return min(
-            (self._wait_in(place, ahead) for place in other_data_centres), default=float("inf")
+            (self._wait_in(other, ahead) for other in other_data_centres), default=float("inf")
         )
 
     def _wait_in(self, data_centre, ahead):
@@ -143,11 +143,11 @@
     first = jobs[0]
     if first.places and target.data_centre not in first.places:
         return False
-    crossing = target.crossing_bytes(jobs)
+    moved_bytes = target.crossing_bytes(jobs)
     wait = target.preferred_wait(first, ahead)
-    if not crossing or crossing <= wait * _CROSSING_BYTES_PER_SECOND:
+    if not moved_bytes or moved_bytes <= wait * _CROSSING_BYTES_PER_SECOND:
         return True
-    if crossing < _HEAVY_STAGE_BYTES:
+    if moved_bytes < _HEAVY_STAGE_BYTES:
         return crowded or first.due < now + _URGENT_SECONDS
     is_too_late = first.due < now - _MAX_LATENESS_SECONDS
     return not is_too_late and first.due <= now + wait + _MIN_SLACK_SECONDS
@@ -211,14 +211,14 @@
     needed = sum(job.result_bytes for job in jobs)
     if needed <= free_bytes:
         return jobs
-    fits = []
+    fitting = []
     # A stage that fits no target as a whole runs in parts, and a started stage is finished.
     if started or needed > profile.room_bytes * _MAX_STAGE_MEMORY_RATIO:
         for job in jobs:
             if job.result_bytes <= free_bytes:
                 free_bytes -= job.result_bytes
-                fits.append(job)
-    return fits
+                fitting.append(job)
+    return fitting
 
 
 def _group_by_call(ranked):
@@ -230,6 +230,6 @@
 
 def _local_first(ranked, batch, target):
     """Move the local pieces to the front within the first two batches of `ranked`."""
-    head, rest = ranked[: 2 * batch], ranked[2 * batch :]
+    head, tail = ranked[: 2 * batch], ranked[2 * batch :]
     head.sort(key=lambda job: not target.is_local(job))
-    return head + rest
+    return head + tail
--- a/traystall/passthrough/stages/cells.py
+++ b/traystall/passthrough/stages/cells.py
@@ -35,7 +35,7 @@
         return list(self.members)
 
     def data_centres(self, cell: str) -> tuple[str, ...]:
-        """Return the data centres of a cell; none for WHOLE_SYSTEM or for a cell that no longer exists."""
+        """Return the data centres of a cell; none for WHOLE_SYSTEM or a former cell."""
         return self.members.get(cell, ())
 
     def of(self, data_centre: str) -> str:
--- a/traystall/passthrough/stages/chain.py
+++ b/traystall/passthrough/stages/chain.py
@@ -135,16 +135,16 @@
 
         Results that wait for a longer parallel chain hold memory without use.
         """
-        learned = self._context.stage_seconds
-        longest_chain_seconds = max(
+        measured = self._context.stage_seconds
+        longest = max(
             (
-                self._seconds_from(i, learned)
+                self._seconds_from(i, measured)
                 for i, count in enumerate(self._passed.piece_counts)
                 if count
             ),
             default=0.0,
         )
-        return max(0.0, longest_chain_seconds - self._seconds_from(index, learned)) * _DELAY_RATIO
+        return max(0.0, longest - self._seconds_from(index, measured)) * _DELAY_RATIO
 
     def _seconds_to_start(self, index) -> float:
         """Return the seconds within which a stage should start to meet the latency goal."""
--- a/traystall/passthrough/stages/piece_queue.py
+++ b/traystall/passthrough/stages/piece_queue.py
@@ -226,8 +226,8 @@
         the cell waits for it instead of calling targets of other cells.
         """
         context, pool = self._context, self._pool
-        inside = context.cells().data_centres(self._cell)
-        places = inside if context.usable(pool, inside, include_closed=True) else ()
+        members = context.cells().data_centres(self._cell)
+        places = members if context.usable(pool, members, include_closed=True) else ()
         return context.usable(pool, places, include_closed)
 
     def _rate_of(self, views, profile, now):
