--- a/traystall/passthrough/stages/releases.py
+++ b/traystall/passthrough/stages/releases.py
@@ -116,7 +116,7 @@
         return True
 
     async def _release_later(self, pool, handles, view):
-        """Queue results again once their worker takes calls of low priority.
+        """Queue results again once their worker takes calls that carry no work.
 
         Work takes precedence within a worker's rate limit. Results that would expire before that
         are dropped here and count as memory in use until the end of their lifetime.
--- a/traystall/passthrough/stages/stage_call.py
+++ b/traystall/passthrough/stages/stage_call.py
@@ -25,13 +25,13 @@
     called: float = 0.0
     # Seconds after which to retry, if the call failed because its targets are in backoff.
     retry_after: float | None = None
-    # Incarnations of targets that ended while they ran pieces of this stage, and the highest
-    # number of them.
+    # Incarnations of targets that ended while they ran pieces of this stage, and how many may end
+    # before the stage fails.
     ended: list[str] = []
     max_target_ends: int = MAX_TARGET_ENDS
 
     def close(self, piece: int, handle: str, reason: str) -> None:
-        """Record the result of a piece, or the reason why it has none."""
+        """Record the first result of a piece, or the reason why it has none."""
         self.handles[piece] = handle
         self.reasons[piece] = reason
         if (reason or all(self.handles)) and not self.done.done():
