--- a/traystall/passthrough/stages/batcher.py
+++ b/traystall/passthrough/stages/batcher.py
@@ -1,9 +1,9 @@
-"""Bring pieces of many gateways together, so that targets get full batches.
+"""Collect the pieces of many gateways at one batcher, so that targets get full batches.
 
-One live gateway of each cell, the same in everyone's view, batches the pieces of
-all pools, so that it can tell which requests may begin. Batching is for efficiency only: when
-the batcher can't be reached or stops answering, a gateway calls the targets
-itself; a piece may be made twice.
+The gateways of a cell agree on one live gateway, the batcher. It batches the pieces of all pools of
+the cell and decides on the admission of requests, since it knows the load of all queues. Batching
+only improves efficiency: if the batcher is unreachable or stops answering, a gateway tries the next
+one and finally calls the targets itself. A piece may then run twice.
 """
 
 import asyncio
@@ -21,9 +21,9 @@
 )
 from traystall.passthrough.context import PassContext
 from traystall.passthrough.stages.cells import cell_of
-from traystall.passthrough.stages.homes import StageHome, home_of_stage
+from traystall.passthrough.stages.homes import StageLocality, stage_locality
 from traystall.passthrough.stages.piece_queue import PieceQueue
-from traystall.passthrough.stages.releases import Releases
+from traystall.passthrough.stages.releases import ResultReleases
 from traystall.rpc.client import LinkPool
 from traystall.rpc.gen.wire.ttypes import (
     PingReply,
@@ -33,73 +33,75 @@
     StageRequest,
 )
 
-# The reason of pieces of a request that was refused before it began.
+# The reason of pieces of a request that was not admitted.
 BUSY = "busy"
-# So many batchers are asked in turn before a gateway calls the targets itself.
+# How many batchers a gateway tries before it calls the targets itself.
 _MAX_BATCHERS = 3
-# While a batcher holds pieces it is asked this often, in seconds, whether it is there.
-_PING_SECONDS = 0.15
-# Longer than a lost packet takes to be sent again: loss alone must not move the ownership.
-_PING_TIMEOUT = 0.35
-# A batcher that ends a stage because its time is over is given so long, in seconds, to say so:
-# some times what a lost packet takes to be sent again on a link of 1.4 ms.
-_REPLY_SECONDS = 0.3
-# The part of the aim that a request may wait to be let in, the part of the time left for one
-# that came back, and how often that is asked, in seconds.
-_ADMISSION_PART = 0.2
-_WAIT_PART = 0.4
-_ASK_SECONDS = 0.05
+# Interval of health checks while a batcher processes a stage request.
+_PING_INTERVAL_SECONDS = 0.15
+# Longer than the retransmission of a lost packet: packet loss alone must not move the ownership.
+_PING_TIMEOUT_SECONDS = 0.35
+# Time after a stage's deadline in which the batcher can report that the stage is late: several
+# times the retransmission of a lost packet on a link of 1.4 ms.
+_REPLY_MARGIN_SECONDS = 0.3
+# How long a request may wait for admission: a ratio of its route's latency goal, or for a request
+# that its caller retries, of its remaining time.
+_ADMISSION_WAIT_RATIO = 0.2
+_RETRY_WAIT_RATIO = 0.4
+# Interval at which a waiting request is checked for admission.
+_ADMISSION_POLL_SECONDS = 0.05
 
 logger = logging.getLogger(__name__)
 
 
 class Batcher:
-    """Send pieces to the gateway that batches, or batch them here."""
+    """Send pieces to the batcher of their cell, or batch them locally."""
 
     def __init__(self, context: PassContext, links: LinkPool):
         self._context = context
         self._links = links
-        # By cell and pool, and by cell.
+        # Keyed by cell and pool.
         self._queues: dict[tuple[str, str], PieceQueue] = {}
+        # Keyed by cell.
         self._books: dict[str, AdmissionController] = {}
-        # By cell, how long the queues of its shared pools were, and when that was told.
-        self._waits: dict[str, tuple[dict[str, float], float]] = {}
-        # Calls whose requests came back and wait to be let in.
-        self._wait_for_room: set[str] = set()
-        self._releases = Releases(context, links, self.on_results_freed)
+        # Keyed by cell: the last known waits of its shared pools in seconds, and when they came in.
+        self._queue_waits: dict[str, tuple[dict[str, float], float]] = {}
+        # Ids of stage calls whose requests wait for admission.
+        self._awaiting_admission: set[str] = set()
+        self._releases = ResultReleases(context, links, self.on_results_freed)
         self._tasks: set[asyncio.Task] = set()
 
     async def run(self, request: StageRequest) -> StageReply:
-        """Return the handles of all pieces of one stage, or why there are none."""
+        """Return the result handles of all pieces of one stage, or the reasons for a failure."""
         for _ in range(_MAX_BATCHERS):
             owner = self._owner(self._cell(request))
             if owner is None:
                 break
             try:
-                self._pass_on(request)
-                reply = await self._run_at(owner, request)
+                self._attach_queue_waits(request)
+                reply = await self._run_remotely(owner, request)
             except RpcError as error:
-                self._leave(owner, request, error)
+                self._mark_unavailable(owner, request, error)
                 continue
             self._releases.note_batched(reply.handles, owner.rpc_address)
             if reply.waits:
-                self._waits[self._cell(request)] = (reply.waits, clock.monotonic())
+                self._queue_waits[self._cell(request)] = (reply.waits, clock.monotonic())
             return reply
-        self._pass_on(request)
+        self._attach_queue_waits(request)
         return await self.run_locally(request)
 
     def latest_queue_waits(self) -> dict[str, dict[str, float]]:
-        """Return how long the queues of shared pools were, by cell, as this gateway was told."""
-        return {cell: waits for cell, (waits, _) in self._waits.items()}
+        """Return the waits of shared pools in seconds that batchers last reported, by cell."""
+        return {cell: waits for cell, (waits, _) in self._queue_waits.items()}
 
-    def _pass_on(self, request):
-        """Tell whoever batches what was told last of the queues of its cell."""
-        waits, at = self._waits.get(self._cell(request), (None, 0.0))
+    def _attach_queue_waits(self, request):
+        """Attach the last known waits of the cell's queues, for a batcher that has taken over."""
+        waits, at = self._queue_waits.get(self._cell(request), (None, 0.0))
         if waits:
             request.waits, request.waits_age = waits, clock.monotonic() - at
 
-    def _leave(self, owner, request, error):
-        """Note that a batcher does not serve; the next one in order is asked then."""
+    def _mark_unavailable(self, owner, request, error):
+        """Mark a batcher as unavailable, so that the next one in order becomes the owner."""
         self._context.owners.on_error(owner.identity, error)
         decision(
             "batcher-left",
@@ -110,16 +112,16 @@
         )
 
     async def run_locally(self, request: StageRequest) -> StageReply:
-        """Batch the pieces of one stage at this gateway, or refuse a request that begins."""
+        """Batch the pieces of one stage at this gateway, or refuse a request that starts."""
         cell = self._cell(request)
         if request.waits:
             age = request.waits_age or 0.0
             self._book(cell).merge_peer_waits(request.waits, age, clock.monotonic())
-        verdict = await self._let_in(request, cell)
+        verdict = await self._wait_for_admission(request, cell)
         if not verdict.admitted:
-            rest = self._rest(request)
-            after_rest = self._context.after_rest(rest) if rest else 0.0
-            retry_after = max(verdict.retry_after, after_rest)
+            backoff = self._backoff_seconds(request)
+            after_backoff = self._context.after_rest(backoff) if backoff else 0.0
+            retry_after = max(verdict.retry_after, after_backoff)
             return StageReply(
                 handles=[],
                 reasons=[BUSY] * len(request.pieces),
@@ -128,31 +130,33 @@
             )
         book = self._book(cell)
         book.requested(request.request_id, request.stage)
-        reply = await self._queue(cell, request.pool).run(request, self._home(request))
+        reply = await self._queue(cell, request.pool).run(request, self._locality(request))
         now = clock.monotonic()
         reply.waits = book.waits(now) or None
         if all(reply.handles):
             book.made(request.request_id, request.stage, self._usual_seconds(request), now)
         return reply
 
-    def _rest(self, request) -> float:
-        """Return how long a pool of its stages rests as a whole, in seconds; 0 if none does."""
+    def _backoff_seconds(self, request) -> float:
+        """Return the seconds until no pool of a request has all targets in backoff, or 0."""
         route = self._context.index.route_named(request.route)
         pools = {stage.pool for stage in route.stages} if route is not None else set()
         places = tuple(request.places or ())
         return max((self._context.backoff_left(pool, places) for pool in pools), default=0.0)
 
-    def _home(self, request) -> StageHome:
-        """Return where a stage is best made, by where its inputs lie and who reads its results."""
+    def _locality(self, request) -> StageLocality:
+        """Return the preferred data centre of a stage by its inputs and its results' readers."""
         route = self._context.index.route_named(request.route)
         counts = request.counts or []
         if route is None or len(counts) != len(route.stages):
-            return StageHome(request.data_centre or "", request.away_bytes or 0)
-        inputs = self._input_bytes(route, counts, request)
-        return home_of_stage(route.stages, counts, request.stage, inputs, request.data_centre or "")
+            return StageLocality(request.data_centre or "", request.away_bytes or 0)
+        inputs = self._input_bytes_by_data_centre(route, counts, request)
+        return stage_locality(
+            route.stages, counts, request.stage, inputs, request.data_centre or ""
+        )
 
-    def _input_bytes(self, route, counts, request) -> Counter[str]:
-        """Return the bytes that each piece of a stage reads, by the data centre where they lie."""
+    def _input_bytes_by_data_centre(self, route, counts, request) -> Counter[str]:
+        """Return the input bytes of each piece of a stage, by the data centre that holds them."""
         held: Counter[str] = Counter()
         handles = iter(request.inputs or ())
         for earlier in route.stages[request.stage].after:
@@ -162,70 +166,70 @@
         found: Counter[str] = Counter()
         for worker, size in held.items():
             view = self._context.board.at_address(worker)
-            if view is not None:  # One that is gone holds nothing.
+            if view is not None:  # A target that is gone holds no results.
                 found[view.report.data_centre] += size
         return found
 
     def _usual_seconds(self, request) -> float:
-        """Return how long the longest chain of a request takes without waiting."""
+        """Return the duration of a request's longest chain of stages without queueing."""
         route = self._context.index.route_named(request.route)
         if route is None:
             return 0.0
         ends: list[float] = []
         for index, stage in enumerate(route.stages):
-            begins = max((ends[earlier] for earlier in stage.after), default=0.0)
+            start = max((ends[earlier] for earlier in stage.after), default=0.0)
             count = request.counts[index] if request.counts else 0
             own = self._context.usual_stage_seconds(stage.pool) if count else 0.0
-            ends.append(begins + own)
+            ends.append(start + own)
         return max(ends, default=0.0)
 
     def cancel(self, call_id: str, request_id: str) -> None:
-        """Drop the pieces of a call that nobody waits for any more; its request is over."""
-        self._wait_for_room.discard(call_id)
-        self._end(request_id)
+        """Drop the pieces of a cancelled stage call and end its request."""
+        self._awaiting_admission.discard(call_id)
+        self._end_request(request_id)
         for queue in self._queues.values():
             queue.cancel(call_id)
 
     def abandon(self, request_id: str, data_centre: str) -> None:
-        """Tell that a request is over and will ask for nothing more."""
-        self._end(request_id)
+        """End a request here and notify its batcher that no stages of it will follow."""
+        self._end_request(request_id)
         owner = self._owner(cell_of(request_id, data_centre, self._context.cells()))
         if owner is not None:
             message = StageCancel(call_id="", request_id=request_id)
             self._spawn(self._send(self._links.link(owner.rpc_address), message))
 
     async def ping(self, request: PingRequest) -> PingReply:
-        """Answer that this gateway is there."""
+        """Answer a health check."""
         return PingReply(identity=self._context.identity)
 
     def on_results_freed(self, pool: str, handles: list[str]) -> None:
-        """Take in that results of a pool were given up."""
+        """Count results of a pool as freed in the queues of this gateway."""
         for (_, name), queue in self._queues.items():
             if name == pool:
                 queue.freed(handles)
 
     def free(self, pool: str, handles: list[str]) -> None:
-        """Give results up."""
-        self._releases.give_up(pool, handles)
+        """Free results at their workers."""
+        self._releases.release(pool, handles)
 
     async def drain(self, seconds: float) -> None:
-        """Return once nobody waits for pieces that are batched here, or after `seconds`."""
+        """Return once no stage call waits for pieces that are batched here, or after `seconds`."""
         deadline = clock.monotonic() + seconds
         while clock.monotonic() < deadline and any(q.is_busy() for q in self._queues.values()):
             await asyncio.sleep(0.02)
 
     def dispatch(self) -> None:
-        """Call targets that have come free or are new."""
+        """Dispatch waiting pieces to targets that are free or new."""
         for queue in self._queues.values():
             queue.dispatch()
 
     def close(self) -> None:
-        """End what is under way."""
+        """Cancel the background tasks."""
         self._releases.close()
         for task in self._tasks:
             task.cancel()
 
-    # ---- another gateway batches ----
+    # ---- batching at another gateway ----
 
     def _owner(self, cell):
         return self._context.batching_owner(cell)
@@ -234,16 +238,16 @@
         data_centre = request.data_centre or ""
         return cell_of(request.request_id, data_centre, self._context.cells())
 
-    async def _run_at(self, owner, request):
+    async def _run_remotely(self, owner, request):
         link = self._links.link(owner.rpc_address)
-        seconds = max(0.1, request.seconds_left) + _REPLY_SECONDS
+        seconds = max(0.1, request.seconds_left) + _REPLY_MARGIN_SECONDS
         call = asyncio.create_task(link.call(request, seconds))
-        watch = asyncio.create_task(self._watch(link))
+        health_check = asyncio.create_task(self._monitor(link))
         try:
-            await asyncio.wait({call, watch}, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait({call, health_check}, return_when=asyncio.FIRST_COMPLETED)
             if call.done():
                 return call.result()
-            return watch.result()  # Raises what the watch has found.
+            return health_check.result()  # Raises the error of the failed health check.
         except asyncio.CancelledError:
             self._spawn(
                 self._send(
@@ -252,63 +256,64 @@
             )
             raise
         finally:
-            watch.cancel()
+            health_check.cancel()
             call.cancel()
-            await asyncio.gather(call, watch, return_exceptions=True)
+            await asyncio.gather(call, health_check, return_exceptions=True)
 
-    async def _watch(self, link):
-        """Raise an RpcError once the batcher doesn't answer."""
+    async def _monitor(self, link):
+        """Raise an RpcError once the batcher fails a health check."""
         while True:
-            await asyncio.sleep(_PING_SECONDS)
-            await link.call(PingRequest(sender=self._context.identity), _PING_TIMEOUT)
+            await asyncio.sleep(_PING_INTERVAL_SECONDS)
+            await link.call(PingRequest(sender=self._context.identity), _PING_TIMEOUT_SECONDS)
 
     async def _send(self, link, message):
         try:
             await link.send(message)
         except RpcError as error:
-            logger.debug("batcher not told", extra={"why": str(error)})
+            logger.debug("could not notify the batcher", extra={"why": str(error)})
 
-    # ---- this gateway batches ----
+    # ---- batching at this gateway ----
 
-    async def _let_in(self, request, cell) -> AdmissionDecision:
-        """Return the verdict on a request, which may wait a while for it."""
+    async def _wait_for_admission(self, request, cell) -> AdmissionDecision:
+        """Return the verdict on a request; a request that is refused at first may wait a while."""
         verdict = self._admit(request, cell, 0.0)
         if verdict.admitted or request.refuse_at_once:
             return verdict
-        began = clock.monotonic()
-        patience = self._patience(request, verdict)
+        started_at = clock.monotonic()
+        patience = self._max_admission_wait(request, verdict)
         waited = 0.0
-        if self._rest(request) > patience or verdict.seconds_to_admission > patience:
-            # Nothing that could happen meanwhile would let it in.
-            self._refuse(request, cell, verdict, waited)
+        if self._backoff_seconds(request) > patience or verdict.seconds_to_admission > patience:
+            # The request can't be admitted within its allowed wait.
+            self._record_refusal(request, cell, verdict, waited)
             return verdict
-        self._wait_for_room.add(request.call_id)
+        self._awaiting_admission.add(request.call_id)
         try:
-            while not verdict.admitted and request.call_id in self._wait_for_room:
-                if waited + _ASK_SECONDS > patience:
-                    self._refuse(request, cell, verdict, waited)
+            while not verdict.admitted and request.call_id in self._awaiting_admission:
+                if waited + _ADMISSION_POLL_SECONDS > patience:
+                    self._record_refusal(request, cell, verdict, waited)
                     break
-                await asyncio.sleep(_ASK_SECONDS)
-                waited = clock.monotonic() - began
+                await asyncio.sleep(_ADMISSION_POLL_SECONDS)
+                waited = clock.monotonic() - started_at
                 verdict = self._admit(request, cell, waited)
         finally:
-            self._wait_for_room.discard(request.call_id)
+            self._awaiting_admission.discard(request.call_id)
         request.seconds_left -= waited
         request.seconds_to_start -= waited
         return verdict
 
-    def _patience(self, request, verdict) -> float:
-        """Return how long a request may wait to be let in, in seconds.
+    def _max_admission_wait(self, request, verdict) -> float:
+        """Return how long a request may wait for admission, in seconds.
 
-        A refusal within a quarter of the aim is worth most to its caller. Where pools are shared by
-        parts, who came back waits no longer than others: its turn comes like theirs.
+        A refusal is most useful to a caller within a quarter of the latency goal. In pools with
+        capacity shares a retried request waits no longer than others, because shares alone decide
+        whose turn it is.
         """
         if verdict.came_back and not verdict.shared:
-            return (request.seconds_left or 0.0) * _WAIT_PART
+            return (request.seconds_left or 0.0) * _RETRY_WAIT_RATIO
         route = self._context.index.route_named(request.route)
-        return route.aim * _ADMISSION_PART if route is not None else 0.0
+        return route.aim * _ADMISSION_WAIT_RATIO if route is not None else 0.0
 
-    def _refuse(self, request, cell, verdict, waited):
+    def _record_refusal(self, request, cell, verdict, waited):
         self._book(cell).record_refusal(request.mark or "", clock.monotonic())
         metrics.not_admitted_total.inc({"route": request.route or "", "pool": verdict.binding})
         decision(
@@ -323,8 +328,8 @@
             binding=verdict.binding,
             rates={
                 name: round(queue.rate(clock.monotonic()), 1)
-                for (place, name), queue in self._queues.items()
-                if place == cell
+                for (queue_cell, name), queue in self._queues.items()
+                if queue_cell == cell
             },
             retry_after=round(verdict.retry_after, 3),
         )
@@ -334,7 +339,7 @@
         if route is None or len(request.counts or ()) != len(route.stages):
             return AdmissionDecision(True, 0.0)
         now = clock.monotonic()
-        arrival = AdmissionRequest(
+        admission_request = AdmissionRequest(
             request_id=request.request_id,
             route=route,
             counts=tuple(request.counts),
@@ -348,7 +353,7 @@
         pools = {stage.pool for stage in route.stages}
         loads = {pool: self._queue(cell, pool).load(now) for pool in pools}
         book = self._book(cell)
-        verdict = book.admit(arrival, loads, now, self._context.shared_pools())
+        verdict = book.admit(admission_request, loads, now, self._context.shared_pools())
         if verdict.shared:
             metrics.shared_part.set({"route": route.name}, verdict.part)
             for pool, wait in book.waits(now).items():
@@ -358,7 +363,7 @@
     def _book(self, cell) -> AdmissionController:
         return self._books.setdefault(cell, AdmissionController())
 
-    def _end(self, request_id):
+    def _end_request(self, request_id):
         for book in self._books.values():
             book.ended(request_id)
 
--- a/traystall/passthrough/stages/homes.py
+++ b/traystall/passthrough/stages/homes.py
@@ -1,9 +1,8 @@
-"""Decide in which data centre the pieces of a stage are best made. Pure; sizes are bytes.
+"""Choose the home of a stage, its preferred data centre, so that little data is moved. Pure.
 
-What counts is what crosses data centres: a piece's inputs, which lie where the
-stages before were made, and its result, which the request reads where its target
-is or the next stage reads wherever that is made. A stage that reads little may
-be made anywhere; the stage after it then follows its results.
+The inputs of a piece are in the data centres where the earlier stages ran. Its result is read by
+the target of the request, or by the next stage wherever that runs. A stage with little input may
+run anywhere; the next stage then runs close to its results. Sizes are bytes.
 """
 
 from collections import Counter
@@ -12,45 +11,47 @@
 
 from traystall.routes.models import StagePlan
 
-# A stage that moves less than this in all is made anywhere: at 10 MB for a second of waiting
-# (batching's exchange rate) it is worth 10 ms.
+# A stage that moves less than this in total runs anywhere: at 10 MB per second of waiting, the
+# exchange rate of batching.py, it is worth 10 ms.
 _LIGHT_STAGE_BYTES = 100_000
 
 
-class StageHome(msgspec.Struct, frozen=True):
-    """Say where a stage is best made (empty: anywhere) and what crosses for each piece if not.
+class StageLocality(msgspec.Struct, frozen=True):
+    """Hold the preferred data centre of a stage (empty: anywhere) and the cost of another one.
 
-    `away_bytes` cross if a piece is made outside `data_centre`, `apart_bytes` if it
-    is made in another data centre than the rest of its stage. `next_pools` are the
-    pools that read the results.
+    `away_bytes` cross data centres for each piece that runs outside `data_centre`, `split_bytes`
+    for each piece that runs in another data centre than the rest of its stage. `reader_pools` are
+    the pools that read the results.
     """
 
     data_centre: str = ""
     away_bytes: int = 0
-    apart_bytes: int = 0
-    next_pools: tuple[str, ...] = ()
+    split_bytes: int = 0
+    reader_pools: tuple[str, ...] = ()
 
 
-def home_of_stage(
+def stage_locality(
     stages: tuple[StagePlan, ...],
     counts: list[int],
     index: int,
     input_bytes: Counter[str],
     read_at: str,
-) -> StageHome:
-    """Return where stage `index` is best made.
+) -> StageLocality:
+    """Return the locality of stage `index`.
 
-    `input_bytes` are what each of its pieces reads, by the data centre where it
-    lies; `read_at` is where the request itself reads what no other stage does.
+    `input_bytes` holds what each of its pieces reads, by the data centre that holds the data.
+    `read_at` is the data centre where the request reads the results that no other stage reads.
     """
     own = stages[index].result_bytes
     readers = [i for i, later in enumerate(stages) if index in later.after and counts[i]]
-    crossing = Counter(input_bytes)
+    bytes_by_data_centre = Counter(input_bytes)
     if not readers and read_at:
-        crossing[read_at] += own
-    apart = own * sum(counts[i] for i in readers)
+        bytes_by_data_centre[read_at] += own
+    split = own * sum(counts[i] for i in readers)
     pools = tuple(sorted({stages[i].pool for i in readers}))
-    home, away = max(crossing.items(), key=lambda item: (item[1], item[0]), default=("", 0))
+    preferred, away = max(
+        bytes_by_data_centre.items(), key=lambda item: (item[1], item[0]), default=("", 0)
+    )
     if away * counts[index] < _LIGHT_STAGE_BYTES:
-        home, away = "", 0
-    return StageHome(home, away, apart, pools)
+        preferred, away = "", 0
+    return StageLocality(preferred, away, split, pools)
--- a/traystall/passthrough/stages/piece_calls.py
+++ b/traystall/passthrough/stages/piece_calls.py
@@ -1,4 +1,4 @@
-"""One call of a target that makes pieces."""
+"""Run a batch of pieces with one call of a target."""
 
 import asyncio
 
@@ -11,11 +11,12 @@
 
 # The reason of pieces whose call was never sent.
 UNREACHABLE = "unreachable"
+# The reason of pieces whose call the target refused without running it.
 FULL = "full"
-# A call is given up after this many times what it should take, and this many seconds more.
-_PATIENCE = 6.0
-_PATIENCE_SECONDS = 0.5
-_PAUSE_SECONDS = 0.05
+# The timeout of a call is this many times its expected duration plus a margin.
+_TIMEOUT_FACTOR = 6.0
+_TIMEOUT_MARGIN_SECONDS = 0.5
+_REFUSAL_PAUSE_SECONDS = 0.05
 _MISDIRECTED = 421
 
 
@@ -26,7 +27,7 @@
     now = clock.monotonic()
     call = context.stage_dialect.run([_to_order(job, now) for job in batch])
     headers = {context.names.expected_incarnation: view.identity}
-    async with asyncio.timeout(expected * _PATIENCE + _PATIENCE_SECONDS):
+    async with asyncio.timeout(expected * _TIMEOUT_FACTOR + _TIMEOUT_MARGIN_SECONDS):
         async with Attempt(view, context.names, None) as attempt:
             await attempt.open(float("inf"))
             attempt.send(request_bytes(call, view.report.address, headers))
@@ -34,7 +35,7 @@
     if attempt.has_not_run():
         if answer.head.status == _MISDIRECTED:
             view.is_replaced = True
-        view.avoid_until = max(view.avoid_until, clock.monotonic() + _PAUSE_SECONDS)
+        view.avoid_until = max(view.avoid_until, clock.monotonic() + _REFUSAL_PAUSE_SECONDS)
         return [PieceResult(reason=FULL)] * len(batch)
     if answer.head.status != 200:
         raise NoAnswer(f"The target answered {answer.head.status}.", sent=True)
@@ -45,7 +46,7 @@
 
 
 def request_bytes(call: HttpCall, host: str, headers: dict[str, str] | None = None) -> bytes:
-    """Return the bytes of a call of our own with a JSON body."""
+    """Return the bytes of a gateway's own HTTP request with a JSON body."""
     lines = [
         f"{call.method} {call.path} HTTP/1.1",
         f"Host: {host}",
