--- a/tests/passthrough/test_admission.py
+++ b/tests/passthrough/test_admission.py
@@ -119,7 +119,7 @@
     forecast = WaitForecast()
     alone = forecast.seconds(2, 20, 40.0, 0.0)
     for step in range(100):
-        forecast.note(0, 1, step * 0.05)
+        forecast.record(0, 1, step * 0.05)
     assert forecast.seconds(2, 20, 40.0, 5.0) > 1.5 * alone
     assert forecast.seconds(0, 20, 40.0, 5.0) == alone
     assert forecast.seconds(2, 20, 40.0, 60.0) == pytest.approx(alone, rel=0.01)
--- a/tests/passthrough/test_forecast.py
+++ b/tests/passthrough/test_forecast.py
@@ -8,7 +8,7 @@
 from tests.support.stage_burst import Burst, chain, hive_kinds, hive_pools
 from traystall.passthrough.admission.book import AdmissionBook, Arrival
 from traystall.passthrough.admission.forecast import PoolLoad, stage_times
-from traystall.passthrough.admission.timeline import SPAN_SECONDS, DemandTimeline
+from traystall.passthrough.admission.timeline import BUCKET_SECONDS, DemandTimeline
 from traystall.routes.models import StagePlan
 
 SECONDS = 14.0
@@ -60,7 +60,7 @@
     for priority, at, pieces in expected:
         timeline.expect(priority, at, pieces)
     at = now + later
-    before = sum(n for p, t, n in expected if p <= 1 and t <= at + SPAN_SECONDS)
+    before = sum(n for p, t, n in expected if p <= 1 and t <= at + BUCKET_SECONDS)
     found = timeline.backlog(1, waiting, rate, now, at)
     assert 0.0 <= found <= waiting + before
     assert found >= waiting + 0.0 - rate * later - 1e-6
@@ -74,7 +74,7 @@
     held = [timeline.expect(*one) for one in expected]
     assert timeline.total(2) == sum(pieces for _, _, pieces in expected)
     for one in held:
-        timeline.take_back(one)
+        timeline.remove(one)
     assert timeline.total(2) == 0
     assert timeline.backlog(2, 7, 1.0, 0.0, 0.0) == 7
 
--- a/tests/passthrough/test_handover.py
+++ b/tests/passthrough/test_handover.py
@@ -22,7 +22,7 @@
 
 def test_what_was_told_counts_until_those_who_began_have_asked():
     handover = Handover()
-    handover.told({"q": 0.5}, 0.1, 10.0)
+    handover.add_waits({"q": 0.5}, 0.1, 10.0)
     assert ahead(handover, 10.2) == 50
     assert ahead(handover, 10.2 + 1.0) == 0
 
@@ -31,27 +31,27 @@
 def test_old_and_late_words_say_nothing(age, now):
     handover = Handover()
     handover.add_to(loads(), 10.0)
-    handover.told({"q": 0.5}, age, now)
+    handover.add_waits({"q": 0.5}, age, now)
     assert ahead(handover, now) == 0
 
 
 def test_doubled_words_count_once():
     handover = Handover()
     for _ in range(3):
-        handover.told({"q": 0.5}, 0.1, 10.0)
+        handover.add_waits({"q": 0.5}, 0.1, 10.0)
     assert ahead(handover, 10.1) == 50
 
 
 def test_pools_that_are_no_more_are_passed_over():
     handover = Handover()
-    handover.told({"gone": 9.0}, 0.1, 10.0)
+    handover.add_waits({"gone": 9.0}, 0.1, 10.0)
     assert ahead(handover, 10.1) == 0
 
 
 @pytest.mark.parametrize("wait", [float("inf"), float("nan"), -1.0])
 def test_pools_without_targets_there_are_judged_by_what_is_here(wait):
     handover = Handover()
-    handover.told({"q": wait}, 0.1, 10.0)
+    handover.add_waits({"q": wait}, 0.1, 10.0)
     assert ahead(handover, 10.1) == 0
 
 
--- a/traystall/passthrough/admission/book.py
+++ b/traystall/passthrough/admission/book.py
@@ -1,11 +1,13 @@
-"""Decide whether a request may begin its stages now. Pure; times are monotonic seconds.
-
-The gateway that batches the pieces of all pools knows what waits in each and
-what the requests that have begun will still ask of it. A request that could not
-be in time is refused at once, while that is worth something to its caller;
-those that have begun go through, because what they hold would be lost. A request
-may wait a moment before admission, holding nothing. One that comes back may wait
-longer so: it is served when the rush is over, rather than sent away for good.
+"""Admission control for requests with stages: decide whether a request may start its stages now.
+
+The module does no I/O; times are monotonic seconds. A request runs the stages of its route, each
+stage sends a number of pieces (units of work) to one pool, and the gateway that batches the pieces
+of all pools runs the controller: it knows the queue of each pool and the pieces that admitted
+requests are still going to send. A request that cannot finish in time is refused at once, while
+the caller still has time to react. An admitted request is never refused later, since the results
+it holds would be lost. Before its admission a request may wait for a short time without holding
+any resource. A request that returns after a refusal may wait longer, so that it is served after
+the load peak instead of being rejected for good.
 """
 
 import math
@@ -13,54 +15,60 @@
 import msgspec
 
 from traystall.admission.demand import Demand
-from traystall.passthrough.admission.calibration import ForecastError
-from traystall.passthrough.admission.crowding import Crowding
+from traystall.passthrough.admission.calibration import ForecastCorrection
+from traystall.passthrough.admission.crowding import CongestionMonitor
 from traystall.passthrough.admission.forecast import (
     PoolForecast,
     PoolLoad,
-    chain_wait,
+    request_wait,
     stage_times,
 )
 from traystall.passthrough.admission.handover import Handover
-from traystall.passthrough.admission.timeline import Expected
+from traystall.passthrough.admission.timeline import ExpectedPieces
 from traystall.routes.models import Route
 
-# A request must be expected this part of its aim before it is late: a forecast errs both ways.
-_MARGIN_PART = 0.2
-# Every request may wait this part of its aim: long prompts would else never be let in.
-_LEAST_PART = 0.25
-_MIN_RETRY = 0.4
-# To come back sooner than this many times the aim would mostly meet the same rush.
-_RETRY_AIMS = 1.5
-# One that came back is let in where the wait is below this part of what others may wait.
-_RETURN_PART = 0.5
-# While others keep coming a queue empties so many times slower than it is served.
-_RETRY_FACTOR = 4.0
-# Callers wait up to a third of the time they have left; a little less reaches them surely.
-_RETRY_PART = 0.3
-# A request that was refused is known again this long.
-_REMEMBERED_SECONDS = 10.0
-# Forecasts are scaled by how requests have fared beside theirs; bounds and weight of the newest.
-_MIN_SCALE, _USUAL_SCALE, _MAX_SCALE = 0.4, 0.7, 2.0
-_LEARNING = 0.1
-# A scale above the usual fades by half in this time: else one that lets nobody in would stay.
-_HALF_SECONDS = 3.0
-# Waits below this, in seconds, say nothing of the forecast.
-_SHORT_WAIT = 0.1
-# Where pools are shared by parts every request may wait so long, in seconds: what waits less than
-# half a call finds a pool that is nearly free, and long prompts would else never be let in.
-_LEAST_WAIT = 0.1
-# Chains whose end was never told are forgotten after this long.
-_LOST_SECONDS = 8.0
-# Who is to be forgotten is looked for so often, in seconds, not at each question.
-_FORGET_SECONDS = 0.2
+# Ratio of the latency goal (the route's `aim`) that the forecast keeps as a safety margin, because
+# a forecast can be too low as well as too high.
+_SAFETY_MARGIN_RATIO = 0.2
+# Ratio of the latency goal that every request may wait. Without it long prompts, which have no
+# slack, are never admitted.
+_MIN_WAIT_RATIO = 0.25
+_MIN_RETRY_SECONDS = 0.4
+# Shortest retry delay, as a multiple of the latency goal. An earlier retry mostly meets the same
+# load peak.
+_MIN_RETRY_AIM_RATIO = 1.5
+# A returning request is admitted when its wait is below this ratio of the limit for new requests.
+_RETURNING_WAIT_RATIO = 0.5
+# A queue drains this many times slower than it is served while new requests keep arriving.
+_DRAIN_FACTOR = 4.0
+# Upper bound of the retry delay, as a ratio of the caller's remaining time. Callers honour a delay
+# of up to a third of that time; a slightly smaller ratio stays below the limit.
+_MAX_RETRY_RATIO = 0.3
+# A refused request is recognised as a returning one for this long.
+_REFUSAL_TTL_SECONDS = 10.0
+# Forecasts are multiplied by a scale learned from the ratio of the actual to the forecast wait of
+# earlier requests: bounds and default of the scale, and the weight of the newest sample.
+_MIN_SCALE, _DEFAULT_SCALE, _MAX_SCALE = 0.4, 0.7, 2.0
+_SCALE_SAMPLE_WEIGHT = 0.1
+# Half-life of a scale above the default. Without the decay a scale that admits no request is never
+# corrected, since only admitted requests give samples.
+_SCALE_HALF_LIFE_SECONDS = 3.0
+# Waits shorter than this give no sample: they say nothing about the forecast.
+_MIN_SAMPLE_WAIT_SECONDS = 0.1
+# Every request to a shared pool may wait this long. A wait below half a call means that the pool is
+# nearly free, and without the minimum long prompts are never admitted.
+_MIN_SHARED_WAIT_SECONDS = 0.1
+# Active requests whose end was never reported expire after this time.
+_ACTIVE_TTL_SECONDS = 8.0
+# Expired entries are removed at this interval instead of at each admission.
+_EXPIRY_INTERVAL_SECONDS = 0.2
 
 
 class Arrival(msgspec.Struct, frozen=True):
-    """Describe a request that wants to begin.
+    """Describe a request that asks for admission.
 
-    `slack` is how long it may wait and still be in time, `seconds_left` until
-    its caller gives up; `mark` is the same when the caller tries again.
+    `slack` is how long the request may wait and still finish in time, `seconds_left` the time
+    until its caller gives up. `mark` stays the same when the caller retries the request.
     """
 
     request_id: str
@@ -71,64 +79,68 @@
     seconds_left: float
     mark: str = ""
     customer: str = ""
-    # Its first stages that were made already; it began elsewhere where there are any.
+    # Stages that have run already. If there are any, another gateway admitted the request.
     made: frozenset[int] = frozenset()
 
     @property
     def has_begun(self) -> bool:
-        """Return whether stages of it were made already."""
+        """Return whether some stages of the request have run already."""
         return bool(self.made)
 
     def demand(self, done: frozenset[int] = frozenset()) -> dict[str, int]:
-        """Return how many pieces of each pool are still to be asked for."""
-        wanted: dict[str, int] = {}
+        """Return the number of pieces by pool that the request has still to send."""
+        pieces: dict[str, int] = {}
         for index, count in enumerate(self.counts):
             if count and index not in done:
                 pool = self.route.stages[index].pool
-                wanted[pool] = wanted.get(pool, 0) + count
-        return wanted
+                pieces[pool] = pieces.get(pool, 0) + count
+        return pieces
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """Hold a decision; `retry_after` is set where it is a refusal, in seconds."""
+    """Hold an admission decision; `retry_after` is set for a refusal, in seconds."""
 
     admitted: bool
     wait: float
     retry_after: float = 0.0
     came_back: bool = False
-    # Which part of its customer's requests begins now, and the pool that binds it, if any does.
+    # The share of the customer's requests that is admitted now, and the pool that limits it, if
+    # any.
     part: float = 1.0
     binding: str = ""
-    # How long it would have to wait until it might be let in, and whether its pools are shared by
-    # parts: only there it is known.
+    # How long the request must wait before its admission is possible, and whether its pools are
+    # divided into capacity shares. The wait is known only for such pools.
     seconds_to_turn: float = 0.0
     shared: bool = False
 
 
-class _Chain(msgspec.Struct):
+class _ActiveRequest(msgspec.Struct):
+    """Hold an admitted request, the time of its admission and the wait forecast for it."""
+
     arrival: Arrival
     since: float
     wait: float
-    # By stage, what its pool expects of it until it is asked for.
-    expected: dict[int, Expected] = msgspec.field(default_factory=dict)
+    # By stage, the pieces that the timeline of its pool expects from the request.
+    expected: dict[int, ExpectedPieces] = msgspec.field(default_factory=dict)
     done: set[int] = msgspec.field(default_factory=set)
 
 
 class AdmissionBook:
-    """Hold the requests that have begun their stages."""
+    """Admit or refuse requests, and keep track of the admitted ones until they end."""
 
     def __init__(self):
-        self._chains: dict[str, _Chain] = {}
+        self._active: dict[str, _ActiveRequest] = {}
         self._forecasts: dict[str, PoolForecast] = {}
+        # The time of the last refusal, by mark.
         self._refused: dict[str, float] = {}
-        # How long requests have waited beside what was forecast for them.
-        self.scale = _USUAL_SCALE
-        self._scaled_at = 0.0
-        self._forgot_at = float("-inf")
-        # By kind, what its requests take beyond their forecasts.
-        self._errors: dict[str, ForecastError] = {}
+        # The ratio of the actual to the forecast wait, as a moving average.
+        self.scale = _DEFAULT_SCALE
+        self._scale_decayed_at = 0.0
+        self._expired_at = float("-inf")
+        # By route, the correction that is added to its forecasts.
+        self._corrections: dict[str, ForecastCorrection] = {}
         self.demand = Demand()
-        self._crowding = Crowding(self.demand, self._forecast)
+        self._congestion = CongestionMonitor(self.demand, self._forecast)
         self._handover = Handover()
 
     def admit(
@@ -138,51 +150,51 @@
         now: float,
         shared_pools: frozenset[str] = frozenset(),
     ) -> Verdict:
-        """Decide on a request by the `loads` of its pools; one that has begun is let through.
+        """Admit or refuse a request by the `loads` of its pools; an active one is admitted again.
 
-        At `shared_pools` what should begin sooner goes first, each kind and customer gets its
-        part, and forecasts are corrected by how requests of a kind have fared.
+        At `shared_pools` the work with the earliest start deadline goes first, each route and
+        customer gets a capacity share, and forecasts are corrected by the errors of the route.
         """
-        if arrival.request_id in self._chains:
+        if arrival.request_id in self._active:
             return Verdict(True, 0.0)
-        self._forget(now)
-        self._fade(now)
+        self._expire(now)
+        self._decay_scale(now)
         if shared_pools.intersection(loads):
-            return self._admit_by_parts(arrival, loads, now, shared_pools)
+            return self._admit_by_share(arrival, loads, now, shared_pools)
         return self._admit_by_aim(arrival, loads, now)
 
     def _admit_by_aim(self, arrival, loads, now) -> Verdict:
-        """Let a request in that waits no longer than some part of its aim."""
+        """Admit a request whose forecast wait is within a ratio of its latency goal."""
         stages, priority = arrival.route.stages, arrival.priority
-        raw_wait = chain_wait(stages, arrival.counts, priority, loads, self._forecast, now)
+        raw_wait = request_wait(stages, arrival.counts, priority, loads, self._forecast, now)
         wait = raw_wait * self.scale
         came_back = arrival.mark in self._refused
-        limit = _limit(arrival) * (_RETURN_PART if came_back else 1.0)
+        limit = _max_wait(arrival) * (_RETURNING_WAIT_RATIO if came_back else 1.0)
         if wait > limit:
             return Verdict(False, wait, _retry_after(arrival, wait), came_back)
-        self._begin(arrival, raw_wait, loads, now)
+        self._activate(arrival, raw_wait, loads, now)
         return Verdict(True, wait)
 
-    def _admit_by_parts(self, arrival, loads, now, shared_pools) -> Verdict:
-        """Let a request in that can be in time, if it is its customer's turn."""
+    def _admit_by_share(self, arrival, loads, now, shared_pools) -> Verdict:
+        """Admit a request that can finish in time if its customer's share allows it."""
         if arrival.has_begun:
-            # It began where another gateway batched: what it holds would be lost.
-            self._begin(arrival, 0.0, loads, now, arrival.slack)
+            # Another gateway admitted the request; a refusal would lose the results it holds.
+            self._activate(arrival, 0.0, loads, now, arrival.slack)
             return Verdict(True, 0.0, shared=True)
         loads = self._handover.add_to(loads, now)
         route, slack = arrival.route, arrival.slack
-        error = self._error(route.name).for_slack(slack, now)
-        self._crowding.look(arrival, slack - error, loads, shared_pools, now)
-        raw_wait = chain_wait(
+        correction = self._correction(route.name).for_slack(slack, now)
+        self._congestion.observe(arrival, slack - correction, loads, shared_pools, now)
+        raw_wait = request_wait(
             route.stages, arrival.counts, arrival.priority, loads, self._forecast, now, slack
         )
-        wait = raw_wait + error
-        beyond = wait - max(slack, _LEAST_WAIT)
+        wait = raw_wait + correction
+        excess = wait - max(slack, _MIN_SHARED_WAIT_SECONDS)
         kind, customer = route.name, arrival.customer
         part, binding = self.demand.part_of(kind, customer), self.demand.part(kind).pool
-        if beyond <= 0.0 and self.demand.may_begin(kind, customer):
+        if excess <= 0.0 and self.demand.may_begin(kind, customer):
             self.demand.begins(kind, customer)
-            self._begin(arrival, raw_wait, loads, now, slack)
+            self._activate(arrival, raw_wait, loads, now, slack)
             return Verdict(True, wait, part=part, binding=binding, shared=True)
         return Verdict(
             False,
@@ -191,63 +203,64 @@
             arrival.mark in self._refused,
             part,
             binding,
-            # While others come a queue empties slowly, and a turn comes only to who asks anew.
-            seconds_to_turn=beyond * _RETRY_FACTOR if beyond > 0.0 else math.inf,
+            # The queue drains slowly while new requests arrive. A request that only its share
+            # refuses gets no time: a new request earns credit, waiting does not.
+            seconds_to_turn=excess * _DRAIN_FACTOR if excess > 0.0 else math.inf,
             shared=True,
         )
 
     def take_over(self, waits: dict[str, float], age: float, now: float) -> None:
-        """Take in what somebody was told `age` seconds ago by the gateway that batched before."""
-        self._handover.told(waits, age, now)
+        """Use the queue waits that a peer received `age` seconds ago from the previous batcher."""
+        self._handover.add_waits(waits, age, now)
 
     def waits(self, now: float) -> dict[str, float]:
-        """Return how long the queues of shared pools are, in seconds by pool."""
-        return self._crowding.waits(now)
+        """Return the queue wait of each shared pool, in seconds."""
+        return self._congestion.waits(now)
 
     def refuse(self, mark: str, now: float) -> None:
-        """Note that a request was refused for good; it is known when it comes back."""
+        """Record the final refusal of a request, so that a retry is recognised as returning."""
         self._refused[mark] = now
 
     def asked(self, request_id: str, stage: int) -> None:
-        """Note that the pieces of a stage were asked for: they now wait in their queue."""
-        chain = self._chains.get(request_id)
-        if chain is not None:
-            self._take_back(chain, stage)
+        """Record that the pieces of a stage were requested: the queue of their pool has them."""
+        active = self._active.get(request_id)
+        if active is not None:
+            self._remove_expected(active, stage)
 
     def made(self, request_id: str, stage: int, usual_seconds: float, now: float) -> None:
-        """Note that a stage was made; after the last one learn from how long all took.
+        """Record that a stage has run; after the last stage, learn from the total time.
 
-        `usual_seconds` is how long the whole chain takes without any waiting.
+        `usual_seconds` is the duration of all stages without any waiting.
         """
-        chain = self._chains.get(request_id)
-        if chain is None:
+        active = self._active.get(request_id)
+        if active is None:
             return
-        chain.done.add(stage)
-        if chain.arrival.demand(frozenset(chain.done)):
+        active.done.add(stage)
+        if active.arrival.demand(frozenset(active.done)):
             return
         self.ended(request_id)
-        waited = now - chain.since - usual_seconds
-        self._error(chain.arrival.route.name).learn(waited - chain.wait, now)
-        if chain.wait > _SHORT_WAIT:
-            found = max(0.0, waited) / chain.wait
-            self.scale += _LEARNING * (found - self.scale)
+        waited = now - active.since - usual_seconds
+        self._correction(active.arrival.route.name).learn(waited - active.wait, now)
+        if active.wait > _MIN_SAMPLE_WAIT_SECONDS:
+            found = max(0.0, waited) / active.wait
+            self.scale += _SCALE_SAMPLE_WEIGHT * (found - self.scale)
             self.scale = min(_MAX_SCALE, max(_MIN_SCALE, self.scale))
 
     def ended(self, request_id: str) -> None:
-        """Note that a request is over, whatever it has still to ask for."""
-        chain = self._chains.pop(request_id, None)
-        if chain is not None:
-            for stage in list(chain.expected):
-                self._take_back(chain, stage)
+        """Remove a request that is over, and the pieces that it has not sent yet."""
+        active = self._active.pop(request_id, None)
+        if active is not None:
+            for stage in list(active.expected):
+                self._remove_expected(active, stage)
 
     def to_come(self, pool: str, priority: int) -> int:
-        """Return how many pieces requests that have begun will still ask of a pool."""
+        """Return how many pieces the admitted requests have still to send to a pool."""
         return self._forecast(pool).timeline.total(priority)
 
-    def _begin(self, arrival, wait, loads, now, patience=0.0):
-        """Count what a request will ask of each pool, when, and how long that may wait."""
-        chain = self._chains[arrival.request_id] = _Chain(arrival, now, wait)
-        chain.done.update(arrival.made)
+    def _activate(self, arrival, wait, loads, now, patience=0.0):
+        """Record the pieces a request is going to send: their pool, time and longest wait."""
+        active = self._active[arrival.request_id] = _ActiveRequest(arrival, now, wait)
+        active.done.update(arrival.made)
         stages = arrival.route.stages
         times = stage_times(
             stages,
@@ -262,25 +275,25 @@
                 expected = forecast.timeline.expect(
                     arrival.priority, times[index][0], count, patience
                 )
-                chain.expected[index] = expected
+                active.expected[index] = expected
         for pool, count in arrival.demand(arrival.made).items():
-            self._forecast(pool).arrivals.note(arrival.priority, count, now)
+            self._forecast(pool).arrivals.record(arrival.priority, count, now)
 
-    def _take_back(self, chain, stage):
-        """Expect the pieces of a stage no longer."""
-        expected = chain.expected.pop(stage, None)
+    def _remove_expected(self, active, stage):
+        """Remove the pieces of a stage from the timeline of its pool."""
+        expected = active.expected.pop(stage, None)
         if expected is not None:
-            pool = chain.arrival.route.stages[stage].pool
-            self._forecast(pool).timeline.take_back(expected)
+            pool = active.arrival.route.stages[stage].pool
+            self._forecast(pool).timeline.remove(expected)
 
-    def _error(self, kind) -> ForecastError:
-        return self._errors.setdefault(kind, ForecastError())
+    def _correction(self, kind) -> ForecastCorrection:
+        return self._corrections.setdefault(kind, ForecastCorrection())
 
-    def _fade(self, now):
-        elapsed = max(0.0, now - self._scaled_at)
-        self._scaled_at = now
-        above = max(0.0, self.scale - _USUAL_SCALE)
-        self.scale -= above * (1.0 - 0.5 ** (elapsed / _HALF_SECONDS))
+    def _decay_scale(self, now):
+        elapsed = max(0.0, now - self._scale_decayed_at)
+        self._scale_decayed_at = now
+        above = max(0.0, self.scale - _DEFAULT_SCALE)
+        self.scale -= above * (1.0 - 0.5 ** (elapsed / _SCALE_HALF_LIFE_SECONDS))
 
     def _forecast(self, pool) -> PoolForecast:
         found = self._forecasts.get(pool)
@@ -288,25 +301,27 @@
             found = self._forecasts[pool] = PoolForecast()
         return found
 
-    def _forget(self, now):
-        if now - self._forgot_at < _FORGET_SECONDS:
+    def _expire(self, now):
+        if now - self._expired_at < _EXPIRY_INTERVAL_SECONDS:
             return
-        self._forgot_at = now
-        self._crowding.forget(now)
-        for request_id, chain in list(self._chains.items()):
-            if now - chain.since > _LOST_SECONDS:
+        self._expired_at = now
+        self._congestion.expire_requests(now)
+        for request_id, active in list(self._active.items()):
+            if now - active.since > _ACTIVE_TTL_SECONDS:
                 self.ended(request_id)
         for mark, at in list(self._refused.items()):
-            if now - at > _REMEMBERED_SECONDS:
+            if now - at > _REFUSAL_TTL_SECONDS:
                 del self._refused[mark]
 
 
-def _limit(arrival):
-    """Return the longest wait with which a request is let in."""
+def _max_wait(arrival):
+    """Return the longest forecast wait with which a request is admitted."""
     aim = arrival.route.aim
-    return max(aim * _LEAST_PART, arrival.slack - aim * _MARGIN_PART)
+    return max(aim * _MIN_WAIT_RATIO, arrival.slack - aim * _SAFETY_MARGIN_RATIO)
 
 
 def _retry_after(arrival, wait):
-    wanted = max((wait - _limit(arrival)) * _RETRY_FACTOR, arrival.route.aim * _RETRY_AIMS)
-    return max(_MIN_RETRY, min(wanted, arrival.seconds_left * _RETRY_PART))
+    delay = max(
+        (wait - _max_wait(arrival)) * _DRAIN_FACTOR, arrival.route.aim * _MIN_RETRY_AIM_RATIO
+    )
+    return max(_MIN_RETRY_SECONDS, min(delay, arrival.seconds_left * _MAX_RETRY_RATIO))
--- a/traystall/passthrough/admission/budget.py
+++ b/traystall/passthrough/admission/budget.py
@@ -1,17 +1,17 @@
-"""Bound what is sent again: a fraction of the requests, and this gateway's part of a slack.
+"""Bound the repeated attempts of a pool, which are a ratio of its requests plus a slack.
 
-The bound holds for the whole system in every window, without the gateways
-talking: each counts its own requests and takes only its part of the slack.
+The bound holds for the whole system in every time window, without any communication between the
+gateways: each gateway counts its own requests and uses only its share of the slack.
 """
 
 from collections import deque
 
 import msgspec
 
-# Parts of the slack that are left untouched, for gateways that nobody knows of yet.
-_SPARE_GATEWAYS = 2
-# The share of the allowance that is used: windows of other processes begin at other times.
-_SAFETY = 0.7
+# Shares of the slack that stay unused, for gateways that this gateway does not know of yet.
+_RESERVED_GATEWAY_COUNT = 2
+# Ratio of the allowance that is used, because the windows of other processes start at other times.
+_USED_RATIO = 0.7
 
 
 class BudgetRule(msgspec.Struct, frozen=True):
@@ -23,7 +23,7 @@
 
 
 class RepeatBudget:
-    """Count the requests and repeats of one pool at one gateway."""
+    """Count the requests and the repeated attempts of one pool at one gateway."""
 
     def __init__(self, rule: BudgetRule):
         self._rule = rule
@@ -31,12 +31,12 @@
         self._repeats: deque[float] = deque()
 
     def on_request(self, now: float) -> None:
-        """Count a first sending."""
+        """Count the first attempt of a request."""
         self._requests.append(now)
         self._expire(now)
 
     def take(self, now: float, gateways: int, count: int = 1) -> bool:
-        """Count repeats if they are allowed; return whether they are."""
+        """Count `count` repeats if the budget allows all of them; return whether it does."""
         self._expire(now)
         if len(self._repeats) + count > self.allowance(gateways):
             return False
@@ -44,9 +44,9 @@
         return True
 
     def allowance(self, gateways: int) -> float:
-        """Return how many repeats this gateway may have in a window now."""
-        slack = self._rule.slack / (max(1, gateways) + _SPARE_GATEWAYS)
-        return _SAFETY * (self._rule.ratio * len(self._requests) + slack)
+        """Return how many repeats this gateway may send in the current window."""
+        slack = self._rule.slack / (max(1, gateways) + _RESERVED_GATEWAY_COUNT)
+        return _USED_RATIO * (self._rule.ratio * len(self._requests) + slack)
 
     def _expire(self, now):
         for times in (self._requests, self._repeats):
--- a/traystall/passthrough/admission/calibration.py
+++ b/traystall/passthrough/admission/calibration.py
@@ -1,49 +1,50 @@
-"""Learn how much longer the stages of a kind take than was forecast. Pure; seconds.
-
-Load: chains whose time is nearly all taken by their own calls. A forecast adds up what is ahead in
-each queue; what it leaves out (the rest of running calls, calls fuller than the mean one,
-hand-overs, work that comes meanwhile) is a tenth of a second a stage, which is a third of what
-such a chain may wait. Let in by the bare forecast, most of a rush is served a little late, and in
-its place others could have been served in time.
+"""Learn how much longer the stages of a route take than forecast.
+
+The module does no I/O; times are seconds. Example: the calls of a route's stages take nearly all
+of its latency goal. A forecast adds up the work ahead in each queue and leaves out the rest of
+the running calls, calls larger than the average, the time between stages and the work that arrives
+later. These add a tenth of a second for each stage, a third of the time that such a request may
+wait. Without the correction most requests of a load peak finish slightly late, in place of other
+requests that could finish in time.
 """
 
 import msgspec
 
-# This part of a kind's requests should take no longer than is said: a late answer is worth
-# less to its caller than coming back, and a forecast for nearly all would leave pools idle.
-_SURE_PART = 0.95
-# Of what a request may wait, so much at the most is kept for errors: a tight kind would else be
-# refused by its errors alone where next to nothing waits.
-_MOST_OF_SLACK = 0.65
-# How far one request moves what is added, in seconds: some ten tell it within a tenth of a second.
+# Quantile of the forecast errors that the correction covers. Late responses are worth less to a
+# caller than a retry, while a forecast that covers nearly all errors leaves pools idle.
+_COVERED_QUANTILE = 0.95
+# Largest ratio of a request's slack that the correction may use. Without this bound a route with
+# little slack is refused by its correction alone while the queues are nearly empty.
+_MAX_SLACK_RATIO = 0.65
+# Change of the correction for one request. With this step an error of a tenth of a second is
+# learned from some ten requests.
 _STEP_SECONDS = 0.03
-# What is added at the least and at the most.
-_LEAST_SECONDS, _MOST_SECONDS = -0.3, 1.0
-# What is added fades by half in this time, in seconds, without news: else one that lets nobody in
-# would stay.
-_HALF_SECONDS = 3.0
+_MIN_SECONDS, _MAX_SECONDS = -0.3, 1.0
+# Half-life of the correction while no request ends. Without the decay a correction that admits no
+# request is never corrected itself.
+_HALF_LIFE_SECONDS = 3.0
 
 
-class ForecastError(msgspec.Struct):
-    """Hold what is added to the forecasts of one kind, and when a request last told."""
+class ForecastCorrection(msgspec.Struct):
+    """Hold the correction added to the forecasts of one route, and the time of its last update."""
 
     seconds: float = 0.0
     at: float = float("-inf")
 
     def learn(self, found: float, now: float) -> None:
-        """Learn from a request that took `found` seconds longer than was forecast for it."""
+        """Learn from a request that took `found` seconds longer than its bare forecast."""
         self.seconds = self.at_time(now)
         above = found > self.seconds
-        self.seconds += _STEP_SECONDS * (_SURE_PART if above else _SURE_PART - 1.0)
-        self.seconds = min(_MOST_SECONDS, max(_LEAST_SECONDS, self.seconds))
+        self.seconds += _STEP_SECONDS * (_COVERED_QUANTILE if above else _COVERED_QUANTILE - 1.0)
+        self.seconds = min(_MAX_SECONDS, max(_MIN_SECONDS, self.seconds))
         self.at = now
 
     def for_slack(self, slack: float, now: float) -> float:
-        """Return what is added for a request that may wait `slack` seconds."""
-        return min(self.at_time(now), max(0.0, slack) * _MOST_OF_SLACK)
+        """Return the correction for a request that may wait `slack` seconds."""
+        return min(self.at_time(now), max(0.0, slack) * _MAX_SLACK_RATIO)
 
     def at_time(self, now: float) -> float:
-        """Return what is added now, in seconds."""
+        """Return the correction at a time, in seconds."""
         if now <= self.at or not self.seconds:
             return self.seconds
-        return self.seconds * 0.5 ** ((now - self.at) / _HALF_SECONDS)
+        return self.seconds * 0.5 ** ((now - self.at) / _HALF_LIFE_SECONDS)
--- a/traystall/passthrough/admission/crowding.py
+++ b/traystall/passthrough/admission/crowding.py
@@ -1,9 +1,10 @@
-"""Tell which pools are crowded, and what they can make of what is still to begin. Pure; seconds.
+"""Detect congested pools, and estimate the capacity they have left for new requests.
 
-Load: a queue that a patient kind fills stays as long as that kind's aim allows, also when the rush
-that filled it is over; what is served in a second is no more for it. A pool counts as crowded when
-its whole queue takes longer than the least patient kind that asks there may wait. Then each kind
-begins with its part of what the pool makes, less what works off the queue beyond that wait.
+The module does no I/O; times are monotonic seconds. Example: a load peak of a route with a long
+latency goal fills a queue as far as that goal allows, and the queue keeps this length after the
+peak although the pool serves no more pieces per second for it. A pool counts as congested when its
+whole queue takes longer than the least patient route that uses the pool may wait. Each route is
+then admitted up to its share of the pool's rate, less the rate that reduces the queue to that wait.
 """
 
 from collections.abc import Callable
@@ -13,46 +14,49 @@
 from traystall.admission.demand import Demand
 from traystall.passthrough.admission.forecast import PoolForecast, PoolLoad, stage_times
 
-# A pool counts as crowded from this part of that wait on: parts should bind before what can't be in
-# time does, which asks neither for kinds nor for customers.
-_CROWDED_PART = 0.75
-# What waits longer than it should is worked off within about this long, in seconds.
+# A pool counts as congested from this ratio of the shortest patience on. Capacity shares should
+# limit admission before the deadlines do, since refusals by deadline treat routes and customers
+# unequally.
+_CONGESTED_WAIT_RATIO = 0.75
+# A queue that is too long is reduced to its limit within about this time.
 _CATCH_UP_SECONDS = 1.0
-# However long the queue, so much of what a pool makes is left for what is still to begin.
-_LEAST_PART = 0.2
-# A kind that has not asked for so long, in seconds, no longer sets how long a queue may be.
-_ASKING_SECONDS = 2.0
-# The queue of a pool is looked at so often, in seconds: a tenth of the shortest calls, where a rush
-# brings hundreds of requests a second that ask.
-_LOOK_SECONDS = 0.02
-# Weight of the newest request in how long a kind may wait.
-_LEARNING = 0.1
-# Who asked to begin is known so long, in seconds: longer than any request waits to be let in.
-_KNOWN_SECONDS = 8.0
-
-
-class _Patience(msgspec.Struct):
-    """Hold how long a kind may wait, as a mean over its requests, and when it last asked."""
+# Smallest ratio of a pool's rate that remains for new requests, for any length of the queue.
+_MIN_RATE_RATIO = 0.2
+# A route without requests for this time no longer limits the length of a queue.
+_ROUTE_TTL_SECONDS = 2.0
+# The wait of a pool is forecast at this interval, a tenth of the shortest calls: a load peak
+# brings hundreds of admission requests per second.
+_UPDATE_INTERVAL_SECONDS = 0.02
+# Weight of the newest request in the mean patience of a route.
+_PATIENCE_SAMPLE_WEIGHT = 0.1
+# A request that asks repeatedly counts once in this time, which is longer than any request waits
+# for admission.
+_REQUEST_TTL_SECONDS = 8.0
+
+
+class _MeanPatience(msgspec.Struct):
+    """Hold how long the requests of a route may wait on average, and when the last one came."""
 
     seconds: float
     at: float
 
 
-class Crowding:
-    """Watch the pools that kinds share by parts."""
+class CongestionMonitor:
+    """Track the queues of the pools that are divided into capacity shares."""
 
     def __init__(self, demand: Demand, forecast: Callable[[str], PoolForecast]):
         self._demand = demand
         self._forecast = forecast
-        # By pool and kind.
-        self._patience: dict[str, dict[str, _Patience]] = {}
-        # What crowded pools make for what is still to begin, in pieces a second.
+        # By pool and route.
+        self._patience: dict[str, dict[str, _MeanPatience]] = {}
+        # The rate that each congested pool has left for new requests, in pieces per second.
         self._rates: dict[str, float] = {}
-        # How long the queue of each pool takes, in seconds, as it was seen last, and when.
+        # By pool, the last forecast of its queue wait in seconds, and the time of the forecast.
         self._waits: dict[str, tuple[float, float]] = {}
-        self._asked: dict[str, float] = {}
+        # The time of the first admission request, by request id, oldest first.
+        self._requests: dict[str, float] = {}
 
-    def look(
+    def observe(
         self,
         arrival,
         patience: float,
@@ -60,15 +64,15 @@
         shared: frozenset[str],
         now: float,
     ) -> None:
-        """Count a request that asks to begin, once, and see how crowded its pools are.
+        """Count a request once, and update the congestion of its pools and all shares.
 
-        By its forecast it may wait `patience` seconds.
+        `patience` is how long the request may wait according to its forecast, in seconds.
         """
         kind = arrival.route.name
-        if arrival.request_id not in self._asked:
-            self._asked[arrival.request_id] = now
+        if arrival.request_id not in self._requests:
+            self._requests[arrival.request_id] = now
             self._demand.asked(kind, arrival.customer, arrival.demand(), now)
-            self._note_patience(arrival, patience, shared, now)
+            self._record_patience(arrival, patience, shared, now)
         stages, counts = arrival.route.stages, arrival.counts
 
         def seconds(pool):
@@ -77,45 +81,48 @@
         times = stage_times(stages, counts, seconds, lambda pool, at: 0.0, now)
         for stage, count, (asked, _) in zip(stages, counts, times, strict=True):
             if count and stage.pool in shared:
-                self._look_at(stage.pool, arrival.priority, patience, loads[stage.pool], now, asked)
+                self._update_pool(
+                    stage.pool, arrival.priority, patience, loads[stage.pool], now, asked
+                )
         self._demand.work_out(self._rates, now)
 
     def waits(self, now: float) -> dict[str, float]:
-        """Return how long the queues take that somebody asked for lately, in seconds by pool."""
+        """Return the queue waits of the pools with recent requests, in seconds."""
         return {
-            pool: wait for pool, (wait, at) in self._waits.items() if now - at <= _ASKING_SECONDS
+            pool: wait for pool, (wait, at) in self._waits.items() if now - at <= _ROUTE_TTL_SECONDS
         }
 
-    def forget(self, now: float) -> None:
-        """Forget who asked long ago."""
-        while self._asked:
-            request_id, at = next(iter(self._asked.items()))
-            if now - at <= _KNOWN_SECONDS:
+    def expire_requests(self, now: float) -> None:
+        """Remove the requests that came first too long ago."""
+        while self._requests:
+            request_id, at = next(iter(self._requests.items()))
+            if now - at <= _REQUEST_TTL_SECONDS:
                 break
-            del self._asked[request_id]
+            del self._requests[request_id]
 
-    def _note_patience(self, arrival, patience, shared, now):
+    def _record_patience(self, arrival, patience, shared, now):
         for pool in shared.intersection(arrival.demand()):
-            kinds = self._patience.setdefault(pool, {})
-            known = kinds.setdefault(arrival.route.name, _Patience(patience, now))
-            known.seconds += _LEARNING * (patience - known.seconds)
+            routes = self._patience.setdefault(pool, {})
+            known = routes.setdefault(arrival.route.name, _MeanPatience(patience, now))
+            known.seconds += _PATIENCE_SAMPLE_WEIGHT * (patience - known.seconds)
             known.at = now
 
-    def _look_at(self, pool, priority, patience, load, now, at):
-        _, seen_at = self._waits.get(pool, (0.0, float("-inf")))
-        if now - seen_at < _LOOK_SECONDS:
+    def _update_pool(self, pool, priority, patience, load, now, at):
+        """Forecast the wait at a pool, and set the rate that is left if it is congested."""
+        _, updated_at = self._waits.get(pool, (0.0, float("-inf")))
+        if now - updated_at < _UPDATE_INTERVAL_SECONDS:
             return
         wait = self._forecast(pool).wait(priority, load, now, at)
-        asking = (
+        recent = (
             known.seconds
             for known in self._patience.get(pool, {}).values()
-            if now - known.at <= _ASKING_SECONDS
+            if now - known.at <= _ROUTE_TTL_SECONDS
         )
         self._waits[pool] = (wait, now)
-        # One that has waited longer than others are remembered asks by itself.
-        allowed = max(0.0, min(asking, default=patience)) * _CROWDED_PART
+        # A request that has waited longer than routes are remembered has only its own patience.
+        allowed = max(0.0, min(recent, default=patience)) * _CONGESTED_WAIT_RATIO
         if wait <= allowed:
             self._rates.pop(pool, None)
             return
-        part = max(_LEAST_PART, 1.0 - (wait - allowed) / _CATCH_UP_SECONDS)
+        part = max(_MIN_RATE_RATIO, 1.0 - (wait - allowed) / _CATCH_UP_SECONDS)
         self._rates[pool] = load.rate * part
--- a/traystall/passthrough/admission/forecast.py
+++ b/traystall/passthrough/admission/forecast.py
@@ -1,8 +1,8 @@
-"""Play the stages of a request forward through the pools as they are. Pure; monotonic seconds.
+"""Simulate the stages of a request against the current load of its pools.
 
-What the requests under way will still ask of a pool is counted when it comes, less
-what the pool serves until then: counted at once, it would turn requests away from
-pools that are three quarters empty.
+The module does no I/O; times are monotonic seconds. Pieces that active requests have still to send
+count at the time of their arrival, less the pieces that the pool serves until then. Counting them
+as if they arrived at once refuses requests although the pools are three quarters empty.
 """
 
 import math
@@ -14,16 +14,16 @@
 from traystall.passthrough.admission.waiting import WaitForecast
 from traystall.routes.models import StagePlan
 
-# Stages that would begin later than this, in seconds, are of no use to any caller.
-_FAR_SECONDS = 60.0
+# The forecast ends here: a stage that starts later than this is of no use to any caller.
+_HORIZON_SECONDS = 60.0
 
 
 class PoolLoad(msgspec.Struct, frozen=True):
-    """Describe a pool as it is now.
+    """Describe the current load of a pool.
 
-    `waiting(priority, due)` returns the pieces in its queue that go before work of a
-    priority that should begin at `due`, `rate` how many pieces a second it makes with
-    full calls, `call_seconds` how long its calls take lately.
+    `waiting(priority, due)` returns the number of queued pieces that go before work of a priority
+    that should start at `due`. `rate` is the number of pieces that the pool serves per second with
+    full calls, `call_seconds` the recent duration of its calls.
     """
 
     waiting: Callable[[int, float], int]
@@ -32,7 +32,7 @@
 
 
 class PoolForecast:
-    """Hold what is known of the demand at one pool: what has come lately and what will come."""
+    """Hold the demand at one pool: the recent arrivals and the expected pieces."""
 
     def __init__(self):
         self.arrivals = WaitForecast()
@@ -41,12 +41,13 @@
     def wait(
         self, priority: int, load: PoolLoad, now: float, at: float, due: float = math.inf
     ) -> float:
-        """Return how long a piece waits that is asked for at `at`, in seconds.
+        """Return how long a piece that arrives at `at` waits, in seconds.
 
-        Where it says when it should begin, what is as urgent and may wait longer goes after it.
+        If the piece has a start deadline `due`, work of the same priority with a later deadline
+        goes after it.
         """
-        left = self.arrivals.left_rate(priority, load.rate, now)
-        if left <= 0 or at > now + _FAR_SECONDS:
+        left = self.arrivals.available_rate(priority, load.rate, now)
+        if left <= 0 or at > now + _HORIZON_SECONDS:
             return float("inf")
         waiting = load.waiting(priority, due)
         return self.timeline.backlog(priority, waiting, left, now, at, due) / left
@@ -59,9 +60,9 @@
     wait: Callable[[str, float], float],
     now: float,
 ) -> list[tuple[float, float]]:
-    """Return for each stage when it is asked for and when it ends.
+    """Return the time at which each stage sends its pieces, and the time at which it ends.
 
-    `seconds(pool)` is how long a call takes, `wait(pool, at)` how long a piece waits.
+    `seconds(pool)` is the duration of a call, `wait(pool, at)` how long a piece waits.
     """
     times: list[tuple[float, float]] = []
     for stage, count in zip(stages, counts, strict=True):
@@ -73,7 +74,7 @@
     return times
 
 
-def chain_wait(
+def request_wait(
     stages: tuple[StagePlan, ...],
     counts: tuple[int, ...],
     priority: int,
@@ -82,10 +83,10 @@
     now: float,
     slack: float = math.inf,
 ) -> float:
-    """Return how much longer the stages of a request take than without any waiting.
+    """Return how much longer the stages of a request take than without any waiting, in seconds.
 
-    With `slack`, the seconds that it may wait and still be in time, only what should begin before
-    its own pieces goes before them.
+    `slack` is how long the request may wait and still finish in time. If it is given, only work
+    that should start before the request's own pieces goes before them.
     """
 
     def seconds(pool):
@@ -94,13 +95,13 @@
     def no_wait(pool, at):
         return 0.0
 
-    unhindered = stage_times(stages, counts, seconds, no_wait, now)
-    begins = zip(unhindered, counts, strict=True)
+    times_without_wait = stage_times(stages, counts, seconds, no_wait, now)
+    begins = zip(times_without_wait, counts, strict=True)
     dues = iter([asked + slack for (asked, _), count in begins if count])
 
     def wait(pool, at):
         return forecasts(pool).wait(priority, loads[pool], now, at, next(dues))
 
     ends = max((end for _, end in stage_times(stages, counts, seconds, wait, now)), default=now)
-    usual = max((end for _, end in unhindered), default=now)
+    usual = max((end for _, end in times_without_wait), default=now)
     return ends - usual if ends < float("inf") else ends
--- a/traystall/passthrough/admission/timeline.py
+++ b/traystall/passthrough/admission/timeline.py
@@ -1,68 +1,71 @@
-"""When requests that have begun will ask a pool for pieces. Pure; times are monotonic seconds.
+"""Hold the pieces that admitted requests are going to send to a pool, and when.
 
-Demand is kept by urgency, patience and short spans of time, so that what a forecast costs
-does not grow with the requests under way.
+The module does no I/O; times are monotonic seconds. Pieces are grouped by priority, patience (how
+long they may wait) and short time buckets, so that the cost of a forecast does not grow with the
+number of active requests.
 """
 
 import math
 
 import msgspec
 
-# Demand that comes within one span counts as coming at its beginning: a fifth of the shortest
+# All pieces of one bucket count as arriving at its start. The bucket is a fifth of the shortest
 # calls (0.15 s).
-SPAN_SECONDS = 0.03
-# Pieces that may wait alike are kept together, in steps of so many seconds: a few kinds of
-# requests meet at a pool, each with about one patience at each of its stages.
+BUCKET_SECONDS = 0.03
+# Pieces with the same patience, rounded down to a step, are grouped. A few routes meet at a pool,
+# each with about one patience at each of its stages.
 PATIENCE_STEP_SECONDS = 0.1
 
 
-class Expected(msgspec.Struct, frozen=True):
-    """Expect so many pieces of an urgency in a span; they may wait so many steps."""
+class ExpectedPieces(msgspec.Struct, frozen=True):
+    """Describe pieces of a priority expected in a bucket; `patience` is a number of steps."""
 
     priority: int
-    span: int
+    bucket: int
     pieces: int
     patience: int = 0
 
     def due(self) -> float:
-        """Return when the pieces should begin at the latest, in seconds."""
-        return self.span * SPAN_SECONDS + self.patience * PATIENCE_STEP_SECONDS
+        """Return the time at which the pieces should start at the latest, in seconds."""
+        return self.bucket * BUCKET_SECONDS + self.patience * PATIENCE_STEP_SECONDS
 
 
 class DemandTimeline:
-    """Hold what is expected at one pool."""
+    """Hold the pieces expected at one pool."""
 
     def __init__(self):
-        # By urgency and patience, then by span, the pieces that are expected.
+        # The number of expected pieces by priority and patience, then by bucket.
         self._pieces: dict[tuple[int, int], dict[int, int]] = {}
 
-    def expect(self, priority: int, at: float, pieces: int, patience: float = 0.0) -> Expected:
-        """Count pieces that will be asked for at about `at`; return what takes them back.
+    def expect(
+        self, priority: int, at: float, pieces: int, patience: float = 0.0
+    ) -> ExpectedPieces:
+        """Add pieces that arrive at about `at`; return the entry that `remove` accepts.
 
-        `patience` is how long they may wait then, in seconds.
+        `patience` is how long the pieces may wait after their arrival, in seconds.
         """
         steps = max(0, math.floor(patience / PATIENCE_STEP_SECONDS))
-        expected = Expected(priority, int(at / SPAN_SECONDS), pieces, steps)
-        spans = self._pieces.setdefault((priority, steps), {})
-        spans[expected.span] = spans.get(expected.span, 0) + pieces
+        expected = ExpectedPieces(priority, int(at / BUCKET_SECONDS), pieces, steps)
+        buckets = self._pieces.setdefault((priority, steps), {})
+        buckets[expected.bucket] = buckets.get(expected.bucket, 0) + pieces
         return expected
 
-    def take_back(self, expected: Expected) -> None:
-        """Count pieces no longer: they were asked for, or never will be."""
+    def remove(self, expected: ExpectedPieces) -> None:
+        """Remove pieces that have arrived or are never going to arrive."""
         key = (expected.priority, expected.patience)
-        spans = self._pieces[key]
-        left = spans[expected.span] - expected.pieces
+        buckets = self._pieces[key]
+        left = buckets[expected.bucket] - expected.pieces
         if left:
-            spans[expected.span] = left
+            buckets[expected.bucket] = left
         else:
-            del spans[expected.span]
-            if not spans:
+            del buckets[expected.bucket]
+            if not buckets:
                 del self._pieces[key]
 
     def total(self, priority: int) -> int:
-        """Return all pieces that are expected of an urgency and of more urgent ones."""
-        found = (spans for (other, _), spans in self._pieces.items() if other <= priority)
-        return sum(sum(spans.values()) for spans in found)
+        """Return the number of expected pieces of a priority and of more urgent ones."""
+        found = (buckets for (other, _), buckets in self._pieces.items() if other <= priority)
+        return sum(sum(buckets.values()) for buckets in found)
 
     def backlog(
         self,
@@ -73,28 +76,28 @@
         at: float,
         due: float = math.inf,
     ) -> float:
-        """Return how many pieces go before one of `priority` that is asked for at `at`.
+        """Return how many pieces go before a piece of `priority` that arrives at `at`.
 
-        `waiting` stand in the queue now; `rate` are served a second, and what is
-        served while nothing waits is lost. What is overdue is taken to come now. Of
-        what is as urgent, only that counts which should begin until `due`.
+        `waiting` pieces are in the queue now and `rate` pieces are served per second; capacity is
+        lost while the queue is empty. Overdue pieces count as arriving now. Pieces of the same
+        priority count only if they should start before `due`.
         """
         arrivals: dict[int, int] = {}
-        last = int(at / SPAN_SECONDS)
-        for (other, patience), spans in self._pieces.items():
+        last = int(at / BUCKET_SECONDS)
+        for (other, patience), buckets in self._pieces.items():
             if other > priority:
                 continue
             if other == priority and due < math.inf:
-                latest = (due - patience * PATIENCE_STEP_SECONDS) / SPAN_SECONDS
+                latest = (due - patience * PATIENCE_STEP_SECONDS) / BUCKET_SECONDS
             else:
                 latest = math.inf
-            for span, pieces in spans.items():
-                if span <= last and span <= latest:
-                    arrivals[span] = arrivals.get(span, 0) + pieces
+            for bucket, pieces in buckets.items():
+                if bucket <= last and bucket <= latest:
+                    arrivals[bucket] = arrivals.get(bucket, 0) + pieces
         left = float(waiting)
         time = now
-        for span in sorted(arrivals):
-            comes = max(now, span * SPAN_SECONDS)
-            left = max(0.0, left - rate * (comes - time)) + arrivals[span]
-            time = comes
+        for bucket in sorted(arrivals):
+            arrives = max(now, bucket * BUCKET_SECONDS)
+            left = max(0.0, left - rate * (arrives - time)) + arrivals[bucket]
+            time = arrives
         return max(0.0, left - rate * (max(now, at) - time))
