--- a/tests/admission/test_demand.py
+++ b/tests/admission/test_demand.py
@@ -1,4 +1,4 @@
-"""Whose turn it is follows from what all have asked for lately."""
+"""Admission by share follows from the recent demand of all customers."""
 
 import pytest
 
@@ -7,8 +7,8 @@
 PIECES = {"p": 1}
 
 
-def ask(demand, kind, customer, now, rates):
-    """Ask to begin; return whether it was let in."""
+def try_start(demand, kind, customer, now, rates):
+    """Send one request; return whether it is admitted."""
     demand.asked(kind, customer, PIECES, now)
     demand.work_out(rates, now)
     if not demand.may_begin(kind, customer):
@@ -17,56 +17,56 @@
     return True
 
 
-def rush(rates, seconds=10.0, asks=(("patient", "a", 50.0), ("quick", "b", 10.0))):
-    """Return which part of its requests each pair of kind and customer began, after a second."""
+def admitted_ratios(rates, seconds=10.0, loads=(("patient", "a", 50.0), ("quick", "b", 10.0))):
+    """Return the admitted ratio of the requests after 2 s, by route and customer."""
     demand = Demand()
     times = sorted(
         (number / rate, kind, customer)
-        for kind, customer, rate in asks
+        for kind, customer, rate in loads
         for number in range(int(seconds * rate))
     )
-    began = {}
+    outcomes = {}
     for now, kind, customer in times:
-        found = ask(demand, kind, customer, now, rates)
+        found = try_start(demand, kind, customer, now, rates)
         if now > 2.0:
-            began.setdefault((kind, customer), []).append(found)
-    return {key: sum(found) / len(found) for key, found in began.items()}
+            outcomes.setdefault((kind, customer), []).append(found)
+    return {key: sum(found) / len(found) for key, found in outcomes.items()}
 
 
-def test_all_begin_where_nothing_binds():
-    assert set(rush({}).values()) == {1.0}
+def test_all_requests_are_admitted_without_a_limiting_pool():
+    assert set(admitted_ratios({}).values()) == {1.0}
 
 
-def test_kinds_that_meet_at_a_crowded_pool_begin_alike():
-    parts = rush({"p": 30.0})
+def test_routes_at_a_congested_pool_get_the_same_share():
+    parts = admitted_ratios({"p": 30.0})
     assert parts["patient", "a"] == pytest.approx(0.5, abs=0.08)
     assert parts["quick", "b"] == pytest.approx(0.5, abs=0.08)
 
 
-def test_a_customer_that_asks_often_is_cut_and_a_small_one_is_not():
-    asks = (("k", "large", 50.0), ("k", "small", 5.0), ("k", "rare", 1.0))
-    parts = rush({"p": 30.0}, asks=asks)
+def test_large_customer_is_limited_and_small_customers_are_not():
+    loads = (("k", "large", 50.0), ("k", "small", 5.0), ("k", "rare", 1.0))
+    parts = admitted_ratios({"p": 30.0}, loads=loads)
     assert parts["k", "small"] == parts["k", "rare"] == 1.0
     assert parts["k", "large"] == pytest.approx(24 / 50, abs=0.08)
 
 
-def test_who_repeats_takes_from_its_own_customer():
-    calm = rush({"p": 30.0}, asks=(("k", "a", 25.0), ("k", "b", 25.0)))
-    repeats = rush({"p": 30.0}, asks=(("k", "a", 75.0), ("k", "b", 25.0)))
-    assert repeats["k", "b"] >= calm["k", "b"] - 0.08
-    assert repeats["k", "a"] * 75 <= calm["k", "a"] * 25 * 1.15
+def test_retries_of_a_customer_count_against_its_own_share():
+    usual = admitted_ratios({"p": 30.0}, loads=(("k", "a", 25.0), ("k", "b", 25.0)))
+    with_retries = admitted_ratios({"p": 30.0}, loads=(("k", "a", 75.0), ("k", "b", 25.0)))
+    assert with_retries["k", "b"] >= usual["k", "b"] - 0.08
+    assert with_retries["k", "a"] * 75 <= usual["k", "a"] * 25 * 1.15
 
 
-def test_a_rush_that_is_over_binds_nobody():
+def test_no_route_is_limited_after_a_load_peak():
     demand = Demand()
     for number in range(100):
-        ask(demand, "k", "a", number * 0.01, {"p": 10.0})
+        try_start(demand, "k", "a", number * 0.01, {"p": 10.0})
     assert demand.part("k").pool == "p"
-    assert ask(demand, "k", "a", 3.0, {})
+    assert try_start(demand, "k", "a", 3.0, {})
     assert not demand.part("k").pool
 
 
-def test_rows_of_those_who_ask_no_more_go():
+def test_customers_without_requests_are_removed():
     demand = Demand()
     for number in range(16_000):
         demand.asked("k", f"c{number}", PIECES, number * 0.01)
--- a/tests/admission/test_patience.py
+++ b/tests/admission/test_patience.py
@@ -1,9 +1,9 @@
-"""Which pools are shared by parts follows from aims and profiles in the configuration."""
+"""Shared pools follow from the latency goals and batch profiles of the configuration."""
 
 from traystall.admission.patience import shared_pools, slack, tight_pools, uneven_pools
 from traystall.routes.models import BatchProfile, Pool, Route, Split, StagePlan
 
-# Calls of 0.4 s when they are full.
+# A full call takes 0.4 s.
 POOLS = {name: Pool(name, batches=BatchProfile(1, 2, 20, 0.2, 0.01)) for name in "pqr"}
 
 
@@ -12,23 +12,25 @@
     return Route(name, "h", f"/{name}/", (Split("engine"),), aim=aim, stages=stages)
 
 
-def test_slack_is_what_the_longest_chain_leaves():
+def test_slack_is_the_goal_less_the_longest_path_of_stages():
     assert slack(route("a", 1.5, "p", "q"), POOLS) == 0.7
     assert slack(route("b", 0.1, "p"), POOLS) > 0.0
 
 
-def test_pools_of_kinds_with_very_different_patience():
+def test_pools_of_routes_with_very_different_slack():
     patient, quick = route("a", 2.0, "p", "q"), route("b", 0.7, "p")
     assert uneven_pools([patient, quick], POOLS) == {"p"}
     assert uneven_pools([patient, route("b", 0.9, "p")], POOLS) == frozenset()
 
 
-def test_pools_of_chains_that_may_wait_little():
+def test_pools_of_staged_routes_with_little_slack():
     assert tight_pools([route("a", 1.2, "p", "q")], POOLS) == {"p", "q"}
     assert tight_pools([route("a", 1.5, "p", "q")], POOLS) == frozenset()
-    assert tight_pools([route("a", 0.5, "p")], POOLS) == frozenset(), "a single stage is no chain"
+    assert tight_pools([route("a", 0.5, "p")], POOLS) == frozenset(), (
+        "a single stage makes no route tight"
+    )
 
 
-def test_routes_without_stages_or_aim_and_unknown_pools_share_nothing():
+def test_routes_without_stages_or_goal_and_unknown_pools_share_no_pool():
     routes = [route("a", 0.0, "p", "q"), route("b", 0.2), route("c", 1.0, "none", "none")]
     assert shared_pools(routes, POOLS) == frozenset()
--- a/tests/admission/test_shares.py
+++ b/tests/admission/test_shares.py
@@ -1,12 +1,12 @@
-"""Crowded pools are divided so that nobody is starved and nothing is left unused."""
+"""Capacity shares starve no route or customer and leave no capacity unused."""
 
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
-from traystall.admission.shares import parts_of_customers, parts_of_kinds
+from traystall.admission.shares import customer_shares, route_shares
 
-NEARLY = 1e-6
+TOLERANCE = 1e-6
 POOLS = ("p", "q", "r")
 ASKED = st.dictionaries(
     st.sampled_from(["a", "b", "c", "d"]),
@@ -16,48 +16,50 @@
 RATES = st.dictionaries(st.sampled_from(POOLS), st.floats(0.1, 1000.0))
 
 
-def used(asked, parts, pool):
+def allocated(asked, parts, pool):
     return sum(parts[kind].part * asked[kind].get(pool, 0.0) for kind in asked)
 
 
 @given(ASKED, RATES)
-def test_no_pool_is_given_more_than_it_makes(asked, rates):
-    parts = parts_of_kinds(asked, rates)
-    assert all(used(asked, parts, pool) <= rate * (1 + NEARLY) for pool, rate in rates.items())
+def test_no_pool_is_allocated_beyond_its_rate(asked, rates):
+    parts = route_shares(asked, rates)
+    assert all(
+        allocated(asked, parts, pool) <= rate * (1 + TOLERANCE) for pool, rate in rates.items()
+    )
 
 
 @given(ASKED, RATES)
-def test_who_gets_less_than_all_is_bound_by_a_pool_that_is_used_up(asked, rates):
-    parts = parts_of_kinds(asked, rates)
+def test_limited_route_names_a_pool_that_is_fully_used(asked, rates):
+    parts = route_shares(asked, rates)
     for kind, found in parts.items():
         assert found.part == 1.0 or found.pool in asked[kind]
         if found.pool:
-            assert used(asked, parts, found.pool) == pytest.approx(rates[found.pool])
+            assert allocated(asked, parts, found.pool) == pytest.approx(rates[found.pool])
 
 
 @given(ASKED, RATES)
-def test_nobody_gets_a_larger_part_at_the_pool_that_binds_another(asked, rates):
-    """So the more urgent of two kinds that meet there is never served a smaller part."""
-    parts = parts_of_kinds(asked, rates)
+def test_no_route_gets_a_larger_share_at_the_pool_that_limits_another(asked, rates):
+    """An urgent route is therefore never served a smaller share than another one there."""
+    parts = route_shares(asked, rates)
     for found in parts.values():
-        beside = [parts[kind].part for kind in asked if found.pool in asked[kind]]
-        assert all(part <= found.part + NEARLY for part in beside)
+        others = [parts[kind].part for kind in asked if found.pool in asked[kind]]
+        assert all(part <= found.part + TOLERANCE for part in others)
 
 
 @given(ASKED, RATES)
-def test_no_kind_is_starved(asked, rates):
-    assert all(found.part > 0.0 for found in parts_of_kinds(asked, rates).values())
+def test_no_route_is_starved(asked, rates):
+    assert all(found.part > 0.0 for found in route_shares(asked, rates).values())
 
 
-def test_what_a_kind_does_not_get_at_one_pool_others_get_at_the_next():
+def test_demand_lost_at_one_pool_frees_capacity_at_the_next():
     asked = {"chain": {"p": 100.0, "q": 100.0}, "single": {"p": 100.0}}
-    parts = parts_of_kinds(asked, {"p": 120.0, "q": 40.0})
+    parts = route_shares(asked, {"p": 120.0, "q": 40.0})
     assert parts["chain"].part == pytest.approx(0.4) and parts["chain"].pool == "q"
     assert parts["single"].part == pytest.approx(0.8) and parts["single"].pool == "p"
 
 
-def test_pools_with_enough_bind_nobody():
-    parts = parts_of_kinds({"a": {"p": 10.0}, "b": {}}, {"p": 11.0})
+def test_pools_with_enough_capacity_limit_no_route():
+    parts = route_shares({"a": {"p": 10.0}, "b": {}}, {"p": 11.0})
     assert all(found.part == 1.0 and not found.pool for found in parts.values())
 
 
@@ -65,21 +67,21 @@
 
 
 @given(CUSTOMERS, st.floats(0.01, 500.0))
-def test_customers_get_what_there_is_up_to_one_level(asked, rate):
-    parts = parts_of_customers(asked, rate)
-    given_ = {name: parts[name] * asked[name] for name in asked}
-    assert sum(given_.values()) == pytest.approx(min(rate, sum(asked.values())))
-    cut = [given_[name] for name in asked if parts[name] < 1.0 - NEARLY]
-    assert all(level == pytest.approx(max(given_.values())) for level in cut)
+def test_customers_share_the_capacity_up_to_one_level(asked, rate):
+    parts = customer_shares(asked, rate)
+    granted = {name: parts[name] * asked[name] for name in asked}
+    assert sum(granted.values()) == pytest.approx(min(rate, sum(asked.values())))
+    limited = [granted[name] for name in asked if parts[name] < 1.0 - TOLERANCE]
+    assert all(level == pytest.approx(max(granted.values())) for level in limited)
     assert all(part > 0.0 for part in parts.values())
 
 
 @given(CUSTOMERS, st.floats(0.01, 500.0), st.floats(1.0, 10.0))
-def test_who_asks_more_often_takes_nothing_from_others_beyond_the_level(asked, rate, times):
-    """A customer whose callers repeat gets no more than one that asks for as much."""
+def test_more_requests_of_one_customer_take_nothing_from_others_at_the_level(asked, rate, times):
+    """Retries of a limited customer's callers leave the shares of other customers unchanged."""
     name = max(asked, key=asked.get)
-    before = parts_of_customers(asked, rate)
-    after = parts_of_customers({**asked, name: asked[name] * times}, rate)
-    if before[name] < 1.0 - NEARLY:
+    before = customer_shares(asked, rate)
+    after = customer_shares({**asked, name: asked[name] * times}, rate)
+    if before[name] < 1.0 - TOLERANCE:
         for other in asked.keys() - {name}:
             assert after[other] == pytest.approx(before[other])
--- a/traystall/admission/__init__.py
+++ b/traystall/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Who gets a crowded pool: parts of kinds of requests and of customers, pure."""
+"""Capacity shares of congested pools, by route and by customer; the package does no I/O."""
--- a/traystall/admission/demand.py
+++ b/traystall/admission/demand.py
@@ -1,117 +1,123 @@
-"""What kinds and customers ask of pools lately, and whose turn it is. Pure; monotonic seconds."""
+"""Measure the recent demand of routes and customers, and decide which customer may start next.
+
+The module does no I/O; times are monotonic seconds. A customer earns credit with each request that
+asks for admission, by its current share, and a request that is admitted costs one unit of credit.
+"""
 
 from collections.abc import Mapping
 
 import msgspec
 
-from traystall.admission.shares import KindPart, parts_of_customers, parts_of_kinds
+from traystall.admission.shares import RouteShare, customer_shares, route_shares
 
-# Demand is averaged over about this long, in seconds: the shortest rushes last some seconds, and
-# a second of a kind that asks 15 times a second still tells its rate.
+# Demand is averaged over about this time. The shortest load peaks last a few seconds, and one
+# second of a route with 15 requests per second still shows its rate.
 _DEMAND_SECONDS = 1.5
-# Who has asked for nothing so long, in seconds, is forgotten.
-_FORGOTTEN_SECONDS = 10.0
-# Parts are worked out so often, in seconds: a tenth of the time in which demand is averaged.
-_PARTS_SECONDS = 0.1
-# What a customer may have saved up, in requests: who asks once is never behind.
-_MOST_SAVED = 2.0
+# A customer without requests for this time is removed.
+_CUSTOMER_TTL_SECONDS = 10.0
+# Shares are updated at this interval, about a tenth of the time over which demand is averaged.
+_UPDATE_INTERVAL_SECONDS = 0.1
+# Largest credit of a customer, in requests. A customer that sends a single request has enough.
+_MAX_CREDIT_REQUESTS = 2.0
 
 
-class FadingRate(msgspec.Struct):
-    """Measure how fast something comes, a second; what is older fades."""
+class DecayingRate(msgspec.Struct):
+    """Measure a rate per second as an average with exponential decay."""
 
     rate: float = 0.0
     at: float = float("-inf")
 
     def add(self, amount: float, now: float) -> None:
-        """Count what has come."""
+        """Count an amount that arrives now."""
         self.rate = self.at_time(now) + amount / _DEMAND_SECONDS
         self.at = now
 
     def at_time(self, now: float) -> float:
-        """Return the rate now."""
+        """Return the rate at a time."""
         if now <= self.at:
             return self.rate
         return self.rate * 0.5 ** ((now - self.at) / _DEMAND_SECONDS / 0.7)
 
 
-class _Asker(msgspec.Struct):
-    """Hold one customer of one kind: how often it asks, and what it has saved up."""
+class _CustomerDemand(msgspec.Struct):
+    """Hold the request rate of one customer on one route, and the customer's credit."""
 
-    asked: FadingRate = msgspec.field(default_factory=FadingRate)
-    saved: float = 1.0
+    asked: DecayingRate = msgspec.field(default_factory=DecayingRate)
+    credit: float = 1.0
 
 
 class Demand:
-    """Count who asks for what at one gateway that batches, and say who may begin."""
+    """Track the demand at one gateway that batches, and the shares that follow from it."""
 
     def __init__(self):
-        # By kind and pool, pieces a second; by kind, then customer.
-        self._pieces: dict[str, dict[str, FadingRate]] = {}
-        self._askers: dict[str, dict[str, _Asker]] = {}
-        self._parts: dict[str, KindPart] = {}
-        self._parts_of_customers: dict[str, dict[str, float]] = {}
-        self._worked_out_at = float("-inf")
+        # Pieces per second, by route and pool.
+        self._pieces: dict[str, dict[str, DecayingRate]] = {}
+        # By route and customer.
+        self._customers: dict[str, dict[str, _CustomerDemand]] = {}
+        self._route_shares: dict[str, RouteShare] = {}
+        self._customer_shares: dict[str, dict[str, float]] = {}
+        self._updated_at = float("-inf")
 
     def asked(self, kind: str, customer: str, pieces: Mapping[str, int], now: float) -> None:
-        """Count a request that asks to begin; each try of a caller counts."""
+        """Count a request that asks for admission; each retry of a caller counts as well."""
         pools = self._pieces.setdefault(kind, {})
         for pool, count in pieces.items():
-            pools.setdefault(pool, FadingRate()).add(count, now)
-        asker = self._askers.setdefault(kind, {}).setdefault(customer, _Asker())
-        asker.asked.add(1.0, now)
-        part = self._parts_of_customers.get(kind, {}).get(customer, 1.0)
-        asker.saved = min(_MOST_SAVED, asker.saved + part)
+            pools.setdefault(pool, DecayingRate()).add(count, now)
+        row = self._customers.setdefault(kind, {}).setdefault(customer, _CustomerDemand())
+        row.asked.add(1.0, now)
+        part = self._customer_shares.get(kind, {}).get(customer, 1.0)
+        row.credit = min(_MAX_CREDIT_REQUESTS, row.credit + part)
 
     def work_out(self, rates: Mapping[str, float], now: float) -> None:
-        """Work the parts out by what crowded pools make, in pieces a second, if it is time."""
-        if now - self._worked_out_at < _PARTS_SECONDS:
+        """Update the shares from the rates of congested pools, in pieces per second, if due."""
+        if now - self._updated_at < _UPDATE_INTERVAL_SECONDS:
             return
-        self._worked_out_at = now
-        self._forget(now)
+        self._updated_at = now
+        self._expire(now)
         asked = {
             kind: {pool: rate.at_time(now) for pool, rate in pools.items()}
             for kind, pools in self._pieces.items()
         }
-        self._parts = parts_of_kinds(asked, rates)
-        self._parts_of_customers = {
-            kind: self._of_customers(kind, part, now) for kind, part in self._parts.items()
+        self._route_shares = route_shares(asked, rates)
+        self._customer_shares = {
+            kind: self._shares_of_customers(kind, part, now)
+            for kind, part in self._route_shares.items()
         }
 
-    def part(self, kind: str) -> KindPart:
-        """Return which part of a kind is served now, and which pool binds it."""
-        return self._parts.get(kind, KindPart())
+    def part(self, kind: str) -> RouteShare:
+        """Return the share of a route's demand that is served now, and the pool that limits it."""
+        return self._route_shares.get(kind, RouteShare())
 
-    def part_of(self, kind: str, customer: str) -> float:
-        """Return which part of what a customer asks of a kind is served now."""
-        return self._parts_of_customers.get(kind, {}).get(customer, self.part(kind).part)
+    def customer_share(self, kind: str, customer: str) -> float:
+        """Return the share of a customer's demand on a route that is served now."""
+        return self._customer_shares.get(kind, {}).get(customer, self.part(kind).part)
 
     def may_begin(self, kind: str, customer: str) -> bool:
-        """Return whether it is a customer's turn; always where nothing binds its kind."""
-        asker = self._askers.get(kind, {}).get(customer)
-        return not self.part(kind).pool or asker is None or asker.saved >= 1.0
+        """Return whether a customer has credit for a request, or no pool limits the route."""
+        row = self._customers.get(kind, {}).get(customer)
+        return not self.part(kind).pool or row is None or row.credit >= 1.0
 
     def begins(self, kind: str, customer: str) -> None:
-        """Take a turn."""
-        asker = self._askers.get(kind, {}).get(customer)
-        if asker is not None:
-            asker.saved = max(0.0, asker.saved - 1.0)
+        """Spend the credit of an admitted request."""
+        row = self._customers.get(kind, {}).get(customer)
+        if row is not None:
+            row.credit = max(0.0, row.credit - 1.0)
 
     def rows(self) -> int:
-        """Return how many customers of kinds are held."""
-        return sum(len(askers) for askers in self._askers.values())
+        """Return the number of tracked customers, counted once for each route."""
+        return sum(len(customers) for customers in self._customers.values())
 
-    def _of_customers(self, kind, part, now):
+    def _shares_of_customers(self, kind, part, now):
         if not part.pool:
             return {}
-        asked = {name: row.asked.at_time(now) for name, row in self._askers[kind].items()}
-        return parts_of_customers(asked, part.part * sum(asked.values()))
-
-    def _forget(self, now):
-        for kind, askers in list(self._askers.items()):
-            for customer, row in list(askers.items()):
-                if now - row.asked.at > _FORGOTTEN_SECONDS:
-                    del askers[customer]
-            if not askers:
-                del self._askers[kind]
+        asked = {name: row.asked.at_time(now) for name, row in self._customers[kind].items()}
+        return customer_shares(asked, part.part * sum(asked.values()))
+
+    def _expire(self, now):
+        for kind, customers in list(self._customers.items()):
+            for customer, row in list(customers.items()):
+                if now - row.asked.at > _CUSTOMER_TTL_SECONDS:
+                    del customers[customer]
+            if not customers:
+                del self._customers[kind]
                 del self._pieces[kind]
--- a/traystall/admission/patience.py
+++ b/traystall/admission/patience.py
@@ -1,33 +1,34 @@
-"""Which pools the kinds of requests that meet there share by parts. Pure; seconds.
+"""Determine the pools that routes share by capacity shares; the module does no I/O.
 
-Loads: a kind with a long aim fills a pool's queue as far as its own aim allows, and a kind with a
-short aim, which could still be served before it, is refused behind it. A kind whose aim its own
-stages nearly fill is let in by a forecast that is some tenths of a second too short, and nearly all
-of a rush is late.
+Two faults make such shares necessary. A route with a long latency goal (`aim`) fills the queue of a
+pool as far as its own goal allows, and a route with a short goal is refused behind that queue,
+although its requests could be served first. A route whose stages take nearly all of its goal is
+admitted by a forecast that is some tenths of a second too short, and nearly all requests of a load
+peak finish late.
 """
 
 from collections.abc import Iterable, Mapping
 
 from traystall.routes.models import Pool, Route
 
-# Kinds of which one may wait so many times as long as another are told apart in queues and
-# forecasts: below that what one of them fills of a queue still leaves the other a third of its own.
+# Routes are told apart in queues and forecasts from this ratio of their slacks on. Below it, the
+# queue that one of them fills still leaves the other one a third of its own slack.
 UNEVEN_RATIO = 3.0
-# A kind may be called tight that may wait less than this part of what its stages take: what is
-# not foreseen of their calls, about a fifth of each, is then a third of all that it may wait.
-TIGHT_PART = 0.6
-# Slacks below this, in seconds, are those of kinds that can't wait at all; a call takes longer.
-_LEAST_SLACK = 0.1
+# A route is tight if its slack is below this ratio of the duration of its stages. The unforeseen
+# part of the calls, about a fifth of each, is then a third of the slack.
+TIGHT_RATIO = 0.6
+# Smaller slacks belong to routes whose requests cannot wait at all, since a call takes longer.
+_MIN_SLACK_SECONDS = 0.1
 
 
 def shared_pools(routes: Iterable[Route], pools: Mapping[str, Pool]) -> frozenset[str]:
-    """Return the pools at which kinds of very different patience meet, or that tight ones ask."""
+    """Return the pools used by routes of very different slack, or by tight routes."""
     routes = list(routes)
     return uneven_pools(routes, pools) | tight_pools(routes, pools)
 
 
 def stages_seconds(route: Route, pools: Mapping[str, Pool]) -> float:
-    """Return how long the stages of a route take with full calls and no waiting, in seconds."""
+    """Return the duration of a route's stages with full calls and no waiting, in seconds."""
     ends: list[float] = []
     for stage in route.stages:
         begins = max((ends[earlier] for earlier in stage.after), default=0.0)
@@ -38,12 +39,12 @@
 
 
 def slack(route: Route, pools: Mapping[str, Pool]) -> float:
-    """Return how long a request of a route may wait in all and still be in time, in seconds."""
-    return max(_LEAST_SLACK, route.aim - stages_seconds(route, pools))
+    """Return how long a request may wait in total and still finish in time, in seconds."""
+    return max(_MIN_SLACK_SECONDS, route.aim - stages_seconds(route, pools))
 
 
 def uneven_pools(routes: Iterable[Route], pools: Mapping[str, Pool]) -> frozenset[str]:
-    """Return the pools at which kinds of very different patience meet."""
+    """Return the pools used by routes of very different slack."""
     slacks: dict[str, list[float]] = {}
     for route in routes:
         if route.aim:
@@ -55,14 +56,15 @@
 
 
 def tight_pools(routes: Iterable[Route], pools: Mapping[str, Pool]) -> frozenset[str]:
-    """Return the pools of the chains that may wait little beside what their stages take.
+    """Return the pools of routes that have several stages and little slack.
 
-    A single stage is no chain: its own queue is all that has to be foreseen.
+    A route without a stage that depends on another is not included: only its own queue has to be
+    forecast.
     """
     return frozenset(
         stage.pool
         for route in routes
         if route.aim and any(stage.after for stage in route.stages)
-        if slack(route, pools) < TIGHT_PART * stages_seconds(route, pools)
+        if slack(route, pools) < TIGHT_RATIO * stages_seconds(route, pools)
         for stage in route.stages
     )
--- a/traystall/admission/shares.py
+++ b/traystall/admission/shares.py
@@ -1,74 +1,75 @@
-"""Divide crowded pools between kinds of requests, and a kind's part between customers. Pure.
+"""Divide the capacity of congested pools between routes, and a route's share between customers.
 
-Load: several kinds meet at pools that make less than all of them ask for. A kind that may wait
-long fills the queue, and one that may not finds no place behind it; a customer who asks often
-finds place more often than one who asks once. Here every kind that meets at the pool that binds
-gets the same part of what it asks for, and inside a kind a customer gets what it asks for up to a
-level that is the same for all. So nobody is starved, no kind is served a smaller part than another
-one at its own bottleneck, and nothing that a pool makes is left unused.
+The module does no I/O. Example: several routes use pools whose rates are below the total demand.
+A route whose requests may wait long fills the queue, and a route whose requests may not is refused
+behind it; a customer with many requests finds room more often than a customer with one. The shares
+are max-min fair. All routes at the pool that limits them get the same ratio of their demand, and
+within a route each customer gets its demand up to one level that is the same for all. So no
+customer is starved, no route is served a smaller share than another one at its own bottleneck, and
+no capacity is left unused.
 """
 
 from collections.abc import Mapping
 
 import msgspec
 
-# Parts closer than this to the whole are the whole.
-_WHOLE = 1.0 - 1e-9
+# Shares above this ratio count as the whole demand, since they differ from it by rounding only.
+_WHOLE_RATIO = 1.0 - 1e-9
 
 
-class KindPart(msgspec.Struct, frozen=True):
-    """Say which part of a kind is served, and which pool binds it; none if nothing does."""
+class RouteShare(msgspec.Struct, frozen=True):
+    """Hold the served share of a route's demand, and the pool that limits it, if any."""
 
     part: float = 1.0
     pool: str = ""
 
 
-def parts_of_kinds(
+def route_shares(
     asked: Mapping[str, Mapping[str, float]], rates: Mapping[str, float]
-) -> dict[str, KindPart]:
-    """Return the part of each kind that the pools can serve.
+) -> dict[str, RouteShare]:
+    """Return the share of each route's demand that the pools can serve.
 
-    `asked` holds what each kind asks of each pool, `rates` what each pool makes, both in
-    pieces a second; a pool that is not named makes any number. A request asks all of its
-    pools or none: what a kind doesn't get at one pool it doesn't ask of the others, and
-    they serve more of those that meet there.
+    `asked` is the demand of each route at each pool, `rates` the capacity of each pool, both in
+    pieces per second; a pool without a rate is unlimited. A request uses all of its pools or none.
+    The demand that a route loses at one pool is therefore missing at its other pools, which serve
+    more of the other routes.
     """
-    found: dict[str, KindPart] = {}
+    found: dict[str, RouteShare] = {}
     left = dict(rates)
-    open_kinds = {kind for kind in asked if any(asked[kind].values())}
-    while open_kinds:
-        level, pool = _scarcest(asked, left, open_kinds)
-        if level >= _WHOLE:
+    undecided = {kind for kind in asked if any(asked[kind].values())}
+    while undecided:
+        ratio, pool = _bottleneck(asked, left, undecided)
+        if ratio >= _WHOLE_RATIO:
             break
-        for kind in [kind for kind in open_kinds if asked[kind].get(pool, 0.0) > 0.0]:
-            found[kind] = KindPart(level, pool)
-            open_kinds.discard(kind)
+        for kind in [kind for kind in undecided if asked[kind].get(pool, 0.0) > 0.0]:
+            found[kind] = RouteShare(ratio, pool)
+            undecided.discard(kind)
             for name, rate in asked[kind].items():
                 if name in left:
-                    left[name] = max(0.0, left[name] - level * rate)
-    return {kind: found.get(kind, KindPart()) for kind in asked}
+                    left[name] = max(0.0, left[name] - ratio * rate)
+    return {kind: found.get(kind, RouteShare()) for kind in asked}
 
 
-def parts_of_customers(asked: Mapping[str, float], rate: float) -> dict[str, float]:
-    """Return the part of what each customer asks that is served, `rate` in all.
+def customer_shares(asked: Mapping[str, float], rate: float) -> dict[str, float]:
+    """Return the served share of each customer's demand; `rate` is their total capacity.
 
-    Who asks little gets all of it; what that leaves goes to the others alike.
+    A customer with little demand gets all of it, and the others divide the rest equally.
     """
     left, count = max(0.0, rate), len(asked)
-    parts: dict[str, float] = {}
+    shares: dict[str, float] = {}
     for customer, wanted in sorted(asked.items(), key=lambda item: (item[1], item[0])):
-        given = min(wanted, left / count)
-        parts[customer] = given / wanted if wanted > 0.0 else 1.0
-        left -= given
+        granted = min(wanted, left / count)
+        shares[customer] = granted / wanted if wanted > 0.0 else 1.0
+        left -= granted
         count -= 1
-    return parts
+    return shares
 
 
-def _scarcest(asked, left, open_kinds) -> tuple[float, str]:
-    """Return the smallest part that a pool can serve of those kinds, and its name."""
+def _bottleneck(asked, left, undecided) -> tuple[float, str]:
+    """Return the smallest ratio of the demand that any pool can serve, and the pool's name."""
     lowest, found = 1.0, ""
     for pool in sorted(left):
-        wanted = sum(asked[kind].get(pool, 0.0) for kind in open_kinds)
+        wanted = sum(asked[kind].get(pool, 0.0) for kind in undecided)
         if wanted > 0.0 and left[pool] / wanted < lowest:
             lowest, found = left[pool] / wanted, pool
     return lowest, found
--- a/traystall/passthrough/admission/book.py
+++ b/traystall/passthrough/admission/book.py
@@ -191,7 +191,7 @@
         wait = raw_wait + correction
         excess = wait - max(slack, _MIN_SHARED_WAIT_SECONDS)
         kind, customer = route.name, arrival.customer
-        part, binding = self.demand.part_of(kind, customer), self.demand.part(kind).pool
+        part, binding = self.demand.customer_share(kind, customer), self.demand.part(kind).pool
         if excess <= 0.0 and self.demand.may_begin(kind, customer):
             self.demand.begins(kind, customer)
             self._activate(arrival, raw_wait, loads, now, slack)
