--- a/tests/passthrough/test_decisions.py
+++ b/tests/passthrough/test_decisions.py
@@ -11,9 +11,9 @@
 from traystall.passthrough.health.places import DataCentreWatch
 from traystall.passthrough.placement.choice import Prompt, choose_target, parse_prompt
 from traystall.passthrough.placement.engines import (
-    EngineChoice,
+    EngineCandidate,
     EnginePlacer,
-    Placement,
+    PlacementQuery,
     PromptPart,
 )
 from traystall.passthrough.stages.room import RoomBook
@@ -131,12 +131,12 @@
     assert choose_target([near, far], set(), "here", mean, random.Random(1), 0.0) is near
 
 
-ENGINES = [EngineChoice(f"e{i}", "xyz"[i % 3], 600_000) for i in range(9)]
+ENGINES = [EngineCandidate(f"e{i}", "xyz"[i % 3], 600_000) for i in range(9)]
 
 
 def prompt(request_id, shared="s", tokens=17000, home="", input_bytes=0):
     parts = (PromptPart(shared, 13000), PromptPart(f"own {request_id}", 4000))
-    return Placement(request_id, parts, tokens, home, input_bytes)
+    return PlacementQuery(request_id, parts, tokens, home, input_bytes)
 
 
 def test_shared_parts_are_read_once():
@@ -176,7 +176,7 @@
 
 
 def test_slow_engine_gets_less():
-    choices = [EngineChoice("slow", "x", 600_000, 4.0), EngineChoice("fast", "x", 600_000)]
+    choices = [EngineCandidate("slow", "x", 600_000, 4.0), EngineCandidate("fast", "x", 600_000)]
     placer = EnginePlacer()
     placed = Counter(placer.place(prompt(str(i), shared=str(i)), choices, 0.0) for i in range(10))
     assert placed["fast"] > placed["slow"]
@@ -192,14 +192,14 @@
 
 
 def test_kept_parts_give_way_when_memory_is_full():
-    small = [EngineChoice("e0", "x", 40_000)]
+    small = [EngineCandidate("e0", "x", 40_000)]
     placer = EnginePlacer()
     for i in range(5):
         placer.place(prompt(str(i), shared=str(i)), small, 0.0)
     engine = placer._engine("e0")
-    assert engine.kept_tokens <= 28_000
-    assert engine.unread(prompt("z", shared="0")) == 17_000
-    assert engine.unread(prompt("z", shared="4")) == 4_000
+    assert engine.cached_tokens <= 28_000
+    assert engine.uncached_tokens(prompt("z", shared="0")) == 17_000
+    assert engine.uncached_tokens(prompt("z", shared="4")) == 4_000
 
 
 PIECES = BatchProfile(batch=4, call_seconds=0.15, piece_seconds=0.03)
--- a/traystall/passthrough/admission/__init__.py
+++ b/traystall/passthrough/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Whether a request may begin, and what may be sent again."""
+"""Admission control of requests, and the budget of repeated attempts."""
--- a/traystall/passthrough/ownership/__init__.py
+++ b/traystall/passthrough/ownership/__init__.py
@@ -1,1 +1,1 @@
-"""Which one gateway does something for all."""
+"""Selection of the gateway that does a task for all gateways."""
--- a/traystall/passthrough/ownership/owners.py
+++ b/traystall/passthrough/ownership/owners.py
@@ -1,10 +1,10 @@
-"""Find the one gateway that does something for all: batches pieces, places prompts.
+"""Select the gateway that owns a task for all gateways: to batch pieces, or to place prompts.
 
-Ownership is for efficiency only; two gateways that take themselves for the
-owner, or none that does, cost some repeats and rereads, never an answer. It
-should move seldom, because what an owner knows does not move with it: a gateway
-that has just started does not take over, and one that a single directory does
-not list is remembered for a while.
+Each gateway computes the owner of a key from its own directory by rendezvous hashing, without any
+communication. Ownership is for efficiency only: two owners of a key, or none, cost some repeated
+pieces and repeated prefill, but never a response. Ownership should rarely move, because the state
+of an owner does not move with it. A gateway that has just started therefore does not take over, and
+a gateway that is missing from one version of the directory is remembered for a while.
 """
 
 from traystall.core import clock
@@ -12,51 +12,53 @@
 from traystall.systems.rendezvous import rendezvous_order
 from traystall.tables.gateways import GatewayRow
 
-# The code by which a gateway that is about to stop refuses to own anything.
+# Error code with which a gateway that is about to stop refuses a request to an owner.
 LEAVING = "leaving"
-# A gateway that did not answer is left out this long, in seconds.
-_SUSPECT_SECONDS = 2.0
+# A gateway that did not respond is excluded for this long.
+_UNRESPONSIVE_SECONDS = 2.0
 _LEAVING_SECONDS = 30.0
-# A gateway owns nothing before it has run this long, unless none has.
-_SETTLED_SECONDS = 8.0
-# A gateway counts as large that can do so much of what the largest near it can: gateways that
-# differ by less are alike, and what they own moves only as they come and go.
-_LARGE_PART = 0.6
-# A gateway that the directory no longer lists still counts this long.
-_REMEMBERED_SECONDS = 4.0
+# A gateway owns no key until its uptime reaches this time, unless all gateways are younger.
+_MIN_UPTIME_SECONDS = 8.0
+# A gateway counts as large from this ratio of the largest nearby gateway's size on. Gateways that
+# differ by less rank as equal, so that ownership moves only when a gateway joins or leaves.
+_LARGE_SIZE_RATIO = 0.6
+# A gateway that the directory no longer lists remains a candidate for this long.
+_UNLISTED_SECONDS = 4.0
 
 
 def placing_key(pool: str) -> str:
-    """Return the key of placing a pool's prompts."""
+    """Return the ownership key for placing the prompts of a pool."""
     return f"place {pool}"
 
 
 def batching_key(cell: str) -> str:
-    """Return the key of batching the pieces of a cell."""
+    """Return the ownership key for batching the pieces of a cell (a group of data centres)."""
     return f"batch {cell}" if cell else "batch"
 
 
 def rank(rows: list[GatewayRow], key: str, now: float, near: tuple[str, ...] = ()) -> list[str]:
-    """Return the identities of gateways in the order in which they own `key`.
+    """Return the identities of the gateways that own `key`, in order of preference.
 
-    Where data centres are named as `near`, gateways inside them go first. Of these the large ones
-    do: what one does for all takes a whole small one in a rush, and then nobody is answered.
+    If any gateway is in the data centres `near`, the others are excluded. Large gateways go before
+    small ones, since during a load peak an owner's work exceeds the capacity of a small gateway,
+    which then responds to no request.
     """
-    settled = [row for row in rows if now - row.started_at >= _SETTLED_SECONDS] or rows
-    near_ones = [row for row in settled if row.data_centre in near] or settled
-    least = max((row.size for row in near_ones), default=0.0) * _LARGE_PART
-    large = [row.identity for row in near_ones if row.size >= least]
-    small = [row.identity for row in near_ones if row.size < least]
+    mature = [row for row in rows if now - row.started_at >= _MIN_UPTIME_SECONDS] or rows
+    nearby = [row for row in mature if row.data_centre in near] or mature
+    min_size = max((row.size for row in nearby), default=0.0) * _LARGE_SIZE_RATIO
+    large = [row.identity for row in nearby if row.size >= min_size]
+    small = [row.identity for row in nearby if row.size < min_size]
     return rendezvous_order(key, large) + rendezvous_order(key, small)
 
 
 class Owners:
-    """Agree with the other gateways, without talking, on who owns what."""
+    """Select owners from the directory, and exclude gateways that did not respond."""
 
     def __init__(self, context):
         self._context = context
+        # By identity, the directory row and the time at which the directory listed it last.
         self._known: dict[str, tuple[GatewayRow, float]] = {}
-        self._left_out: dict[str, float] = {}
+        self._excluded_until: dict[str, float] = {}
 
     def owner(self, key: str, near: tuple[str, ...] = ()) -> GatewayRow | None:
         """Return the directory row of the owner of `key`, or None if it is this gateway."""
@@ -68,11 +70,11 @@
         return self._known[order[0]][0]
 
     def on_error(self, identity: str, error: Exception) -> None:
-        """Leave a gateway out for a while: it did not answer, or said that it stops."""
+        """Exclude a gateway for a while because it did not respond or is about to stop."""
         leaving = isinstance(error, RpcRefused) and error.code == LEAVING
-        seconds = _LEAVING_SECONDS if leaving else _SUSPECT_SECONDS
+        seconds = _LEAVING_SECONDS if leaving else _UNRESPONSIVE_SECONDS
         now = clock.monotonic()
-        self._left_out[identity] = now + seconds
+        self._excluded_until[identity] = now + seconds
         known = self._known.get(identity)
         if known is not None and isinstance(error, RpcTimeout):
             self._context.places.on_silent(known[0].data_centre, identity, now)
@@ -85,13 +87,13 @@
             if row.started_at > newest[row.instance].started_at:
                 newest[row.instance] = row
         for identity, (row, listed_at) in list(self._known.items()):
-            stale = now - listed_at > _REMEMBERED_SECONDS
+            stale = now - listed_at > _UNLISTED_SECONDS
             if stale or newest[row.instance].identity != identity:
                 del self._known[identity]
         return [
             row
             for identity, (row, _) in self._known.items()
             if row.state == "serving"
-            and self._left_out.get(identity, 0.0) <= now
+            and self._excluded_until.get(identity, 0.0) <= now
             and not self._context.places.is_out(row.data_centre, now)
         ]
--- a/traystall/passthrough/placement/__init__.py
+++ b/traystall/passthrough/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Which engine or target gets a request."""
+"""Choice of the engine or target for a request."""
--- a/traystall/passthrough/placement/choice.py
+++ b/traystall/passthrough/placement/choice.py
@@ -1,19 +1,23 @@
-"""Choose the target of an attempt. Pure: views in, a view out, ties broken by `random`."""
+"""Choose the target of an attempt by its load; the module does no I/O.
+
+Ties are broken by `random`.
+"""
 
 import msgspec
 
 from traystall.passthrough.health.board import TargetView
 from traystall.passthrough.placement.engines import PromptPart
-from traystall.passthrough.placement.read_rate import USUAL_TOKENS_PER_SECOND
+from traystall.passthrough.placement.read_rate import DEFAULT_TOKENS_PER_SECOND
 
-# What a request already running counts beside the new one, so that empty targets are compared too.
-_OWN_WEIGHT = 0.25
-# Below this, in seconds, differences are the network's and the event loop's, not the target's: with
-# requests of 2 ms such a one alone kept a target from all work.
+# Weight of the new request against those that run already, so that the durations and distances of
+# idle targets are compared as well.
+_NEW_REQUEST_WEIGHT = 0.25
+# Smaller durations are due to the network and the event loop, not to the target. For requests of
+# 2 ms such a difference alone kept all work away from a target.
 _NOISE_SECONDS = 0.02
-# A target in another data centre counts as this much more loaded.
-_DISTANCE = 1.3
-# From the end of the prompt to the first event.
+# Factor on the load of a target in another data centre.
+_REMOTE_FACTOR = 1.3
+# Time from the end of the prefill to the first event.
 _FIRST_EVENT_SECONDS = 0.05
 
 
@@ -25,15 +29,15 @@
     output_tokens: int = 0
 
     def seconds(self) -> float:
-        """Return about how long an engine takes to the first event, nothing being kept."""
-        return self.tokens / USUAL_TOKENS_PER_SECOND + _FIRST_EVENT_SECONDS
+        """Return the approximate time to the first event without any cached part."""
+        return self.tokens / DEFAULT_TOKENS_PER_SECOND + _FIRST_EVENT_SECONDS
 
 
 def parse_prompt(parts: str | None, counts: str | None) -> Prompt:
-    """Return what the headers say of a prompt; what can't be read counts as nothing.
+    """Return the prompt that the headers describe; invalid numbers count as 0.
 
-    `parts` is ID:TOKENS,...; the last part belongs to the request itself. `counts`
-    is the tokens of the prompt and the most that may come out.
+    `parts` is ID:TOKENS,... and its last part belongs to this request alone. `counts` is the number
+    of tokens of the prompt and the largest number of output tokens.
     """
     named = [word.strip().partition(":") for word in (parts or "").split(",") if word.strip()]
     sized = tuple(PromptPart(name, int(size) if size.isdigit() else 0) for name, _, size in named)
@@ -50,17 +54,17 @@
     random,
     now: float,
 ) -> TargetView | None:
-    """Return the least loaded target that was not tried yet, or None.
+    """Return the least loaded target that is not excluded, or None.
 
-    `mean` is how long targets of the pool take, in seconds; 0 if nothing is known.
+    `mean` is the mean duration at the targets of the pool, in seconds; 0 if it is unknown.
     """
-    found = _untried(candidates, excluded)
+    found = _available(candidates, excluded)
     if not found:
         return None
     return min(found, key=lambda view: (_load(view, data_centre, mean, now), random.random()))
 
 
-def _untried(candidates, excluded):
+def _available(candidates, excluded):
     return [
         view for view in candidates if view.identity not in excluded and view.connections.has_room()
     ]
@@ -68,5 +72,5 @@
 
 def _load(view, data_centre, mean, now):
     ratio = max(_NOISE_SECONDS, view.usual_seconds(mean, now)) / max(_NOISE_SECONDS, mean)
-    distance = 1.0 if view.report.data_centre == data_centre else _DISTANCE
-    return (view.running + _OWN_WEIGHT) * ratio * distance / max(1, view.report.slots)
+    distance = 1.0 if view.report.data_centre == data_centre else _REMOTE_FACTOR
+    return (view.running + _NEW_REQUEST_WEIGHT) * ratio * distance / max(1, view.report.slots)
--- a/traystall/passthrough/placement/engines.py
+++ b/traystall/passthrough/placement/engines.py
@@ -1,30 +1,33 @@
-"""Decide which engine reads a prompt. Pure; times are monotonic seconds.
+"""Decide which engine reads a prompt, by the engines' load and their prefix caches.
 
-One gateway places the prompts of a pool for all, so it knows what each engine
-has still to read and which shared parts it has read lately. Where it can't be
-asked a gateway places by what it has sent itself.
+The module does no I/O; times are monotonic seconds. One gateway, the placer of the pool, places the
+prompts of a pool for all gateways. It therefore knows how much each engine has still to read, and
+which shared prompt parts are in its cache. A gateway that cannot reach the placer places prompts
+by the requests that it has sent itself.
 """
 
 from collections import OrderedDict
 
 import msgspec
 
-from traystall.passthrough.placement.read_rate import ReadRate
+from traystall.passthrough.placement.read_rate import PrefillRate
 from traystall.systems.rendezvous import rendezvous_order
 
-# Reading a shared part again costs more than its time: others wait behind it, and it is priced.
-_READ_AGAIN_WEIGHT = 2.0
-# A running request holds a new one up by about so long.
-_RUNNING_SECONDS = 0.003
-# Moving a megabyte of inputs between data centres counts as much as so many seconds.
-_SECONDS_PER_MEGABYTE = 0.012
-# A prompt whose shared part is kept nowhere goes to the engine that the part's name prefers,
-# unless it waits there so much longer: another placer then finds it there too.
-_ELSEWHERE_SECONDS = 0.06
-# The part of an engine's memory that kept parts are taken to fill.
-_KEPT_SHARE = 0.7
-# A placement whose end nobody has told is forgotten after this long.
-_LOST_SECONDS = 30.0
+# Weight of prefill time against other costs. It exceeds 1 because the prefill also delays other
+# requests and is billed.
+_PREFILL_WEIGHT = 2.0
+# Approximate delay that one running request causes for a new one.
+_RUNNING_REQUEST_SECONDS = 0.003
+# Cost of a transfer of inputs between data centres.
+_TRANSFER_SECONDS_PER_MEGABYTE = 0.012
+# A prompt whose shared part is in no cache goes to the engine that rendezvous hashing prefers for
+# the part, unless the wait there is longer by this time. Another placer then finds the part in the
+# same cache.
+_NOT_PREFERRED_SECONDS = 0.06
+# Ratio of an engine's memory that cached parts are assumed to fill.
+_CACHE_MEMORY_RATIO = 0.7
+# Placements whose end was never reported expire after this time.
+_PLACEMENT_TTL_SECONDS = 30.0
 
 
 class PromptPart(msgspec.Struct, frozen=True):
@@ -34,11 +37,11 @@
     tokens: int
 
 
-class Placement(msgspec.Struct, frozen=True):
-    """Ask for an engine.
+class PlacementQuery(msgspec.Struct, frozen=True):
+    """Describe a prompt to place.
 
-    `parts` come in order, the last belongs to the request itself; inputs of
-    `input_bytes` lie in `data_centre`.
+    `parts` are in the order of the prompt, and the last one belongs to this request alone. Inputs
+    of `input_bytes` are in `data_centre`.
     """
 
     request_id: str
@@ -47,13 +50,13 @@
     data_centre: str = ""
     input_bytes: int = 0
 
-    def shared_part(self) -> str:
-        """Return the name of the last part that other requests may share, or an empty text."""
+    def last_shared_part(self) -> str:
+        """Return the name of the last part that requests may share, or an empty string."""
         return self.parts[-2].name if len(self.parts) > 1 else ""
 
 
-class EngineChoice(msgspec.Struct, frozen=True):
-    """Offer one engine: where it is, its memory, and how slow it is beside the others."""
+class EngineCandidate(msgspec.Struct, frozen=True):
+    """Describe an engine; `ratio` is its duration for a request against that of the others."""
 
     identity: str
     data_centre: str
@@ -62,39 +65,41 @@
 
 
 class _Engine:
-    """Hold what one engine is taken to do and to keep."""
+    """Hold the estimated load and prefix cache of one engine."""
 
     def __init__(self):
-        self.read_until = float("-inf")
+        self.reading_until = float("-inf")
+        # The time of the placement, by request.
         self.reading: dict[str, float] = {}
         self.running: dict[str, float] = {}
-        self.kept: OrderedDict[str, int] = OrderedDict()
-        self.kept_tokens = 0
+        # The size of each cached part in tokens, least recently used first.
+        self.cached: OrderedDict[str, int] = OrderedDict()
+        self.cached_tokens = 0
 
-    def keep(self, parts, limit):
-        """Note that parts are read here; those unused longest give way."""
+    def cache(self, parts, limit):
+        """Add parts to the cache, and evict the least recently used parts beyond the limit."""
         for part in parts:
-            self.kept_tokens += part.tokens - self.kept.pop(part.name, 0)
-            self.kept[part.name] = part.tokens
-        while self.kept_tokens > limit and self.kept:
-            _, tokens = self.kept.popitem(last=False)
-            self.kept_tokens -= tokens
-
-    def unread(self, placement) -> int:
-        """Return how many tokens of a prompt have to be read here."""
-        kept = 0
+            self.cached_tokens += part.tokens - self.cached.pop(part.name, 0)
+            self.cached[part.name] = part.tokens
+        while self.cached_tokens > limit and self.cached:
+            _, tokens = self.cached.popitem(last=False)
+            self.cached_tokens -= tokens
+
+    def uncached_tokens(self, placement) -> int:
+        """Return how many tokens of a prompt the engine has to read."""
+        cached = 0
         for part in placement.parts:
-            if part.name not in self.kept:
+            if part.name not in self.cached:
                 break
-            kept += part.tokens
-        return max(0, placement.tokens - kept)
+            cached += part.tokens
+        return max(0, placement.tokens - cached)
 
-    def forget_lost(self, now):
-        """Drop what began so long ago that its end must have been lost."""
-        for began in (self.reading, self.running):
-            for request_id, at in list(began.items()):
-                if now - at > _LOST_SECONDS:
-                    del began[request_id]
+    def expire_placements(self, now):
+        """Remove placements that are so old that the report of their end must have been lost."""
+        for placed_times in (self.reading, self.running):
+            for request_id, at in list(placed_times.items()):
+                if now - at > _PLACEMENT_TTL_SECONDS:
+                    del placed_times[request_id]
 
 
 class EnginePlacer:
@@ -103,63 +108,68 @@
     def __init__(self):
         self._engines: dict[str, _Engine] = {}
         self._placed: dict[str, str] = {}
-        # The engine that the shared part now in question prefers, whoever places it.
-        self._first = ""
-        self.read_rate = ReadRate()
-
-    def likely(self, placement: Placement, choices: list[EngineChoice], now: float) -> str:
-        """Return the engine that would get a prompt now, or an empty text."""
-        if not choices:
+        # The engine that rendezvous hashing prefers for the shared part of the current query. It is
+        # the same for all placers.
+        self._preferred = ""
+        self.prefill_rate = PrefillRate()
+
+    def best_engine(
+        self, placement: PlacementQuery, candidates: list[EngineCandidate], now: float
+    ) -> str:
+        """Return the engine with the lowest cost for a prompt, or an empty string."""
+        if not candidates:
             return ""
-        shared = placement.shared_part()
-        self._first = ""
+        shared = placement.last_shared_part()
+        self._preferred = ""
         if shared:
-            names = [choice.identity for choice in choices]
-            self._first = rendezvous_order(shared, names)[0]
-        return min(choices, key=lambda c: (self._cost(placement, c, now), c.identity)).identity
-
-    def place(self, placement: Placement, choices: list[EngineChoice], now: float) -> str:
-        """Return the engine for a prompt and count it there; an empty text if there is none."""
-        identity = self.likely(placement, choices, now)
+            names = [candidate.identity for candidate in candidates]
+            self._preferred = rendezvous_order(shared, names)[0]
+        return min(candidates, key=lambda c: (self._cost(placement, c, now), c.identity)).identity
+
+    def place(
+        self, placement: PlacementQuery, candidates: list[EngineCandidate], now: float
+    ) -> str:
+        """Return the engine for a prompt and add it to its load; empty if there is no engine."""
+        identity = self.best_engine(placement, candidates, now)
         if not identity:
             return ""
         self.ended(placement.request_id, now)
-        choice = next(choice for choice in choices if choice.identity == identity)
+        candidate = next(candidate for candidate in candidates if candidate.identity == identity)
         engine = self._engine(identity)
-        unread = engine.unread(placement)
-        self.read_rate.began(placement.request_id, unread, set(engine.reading), now)
-        seconds = unread / self.read_rate.tokens_per_second * choice.ratio
-        engine.read_until = max(now, engine.read_until) + seconds
+        uncached = engine.uncached_tokens(placement)
+        self.prefill_rate.on_placed(placement.request_id, uncached, set(engine.reading), now)
+        seconds = uncached / self.prefill_rate.tokens_per_second * candidate.ratio
+        engine.reading_until = max(now, engine.reading_until) + seconds
         engine.reading[placement.request_id] = now
         engine.running[placement.request_id] = now
-        engine.keep(placement.parts, choice.memory_tokens * _KEPT_SHARE)
+        engine.cache(placement.parts, candidate.memory_tokens * _CACHE_MEMORY_RATIO)
         self._placed[placement.request_id] = identity
         return identity
 
     def started(self, request_id: str, now: float) -> None:
-        """Note that a prompt has been read: its first event came."""
-        self.read_rate.came(request_id, now)
+        """Record the first event of a request: its prompt has been read."""
+        self.prefill_rate.on_first_event(request_id, now)
         engine = self._engines.get(self._placed.get(request_id, ""))
         if engine is None:
             return
         engine.reading.pop(request_id, None)
         if not engine.reading:
-            engine.read_until = now
+            engine.reading_until = now
 
     def ended(self, request_id: str, now: float) -> None:
-        """Note that a request is over."""
-        self.read_rate.forget(request_id)
+        """Record the end of a request."""
+        self.prefill_rate.discard(request_id)
         self.started(request_id, now)
         engine = self._engines.get(self._placed.pop(request_id, ""))
         if engine is not None:
             engine.running.pop(request_id, None)
 
     def retain(self, identities: set[str], now: float) -> None:
-        """Forget engines that are gone, and placements whose end was lost."""
+        """Remove all engines but `identities`, and placements whose end was never reported."""
         for identity in self._engines.keys() - identities:
             del self._engines[identity]
         for engine in self._engines.values():
-            engine.forget_lost(now)
+            engine.expire_placements(now)
         self._placed = {
             request_id: identity
             for request_id, identity in self._placed.items()
@@ -169,17 +179,18 @@
     def _engine(self, identity) -> _Engine:
         return self._engines.setdefault(identity, _Engine())
 
-    def _is_first_for(self, placement, choice):
-        return not placement.shared_part() or choice.identity == self._first
-
-    def _cost(self, placement, choice, now):
-        engine = self._engine(choice.identity)
-        unread = engine.unread(placement) / self.read_rate.tokens_per_second
-        cost = max(0.0, engine.read_until - now)
-        cost += unread * choice.ratio * _READ_AGAIN_WEIGHT
-        cost += len(engine.running) * _RUNNING_SECONDS
-        if unread and not self._is_first_for(placement, choice):
-            cost += _ELSEWHERE_SECONDS
-        if placement.data_centre and choice.data_centre != placement.data_centre:
-            cost += placement.input_bytes / 1e6 * _SECONDS_PER_MEGABYTE
+    def _is_preferred(self, placement, candidate):
+        return not placement.last_shared_part() or candidate.identity == self._preferred
+
+    def _cost(self, placement, candidate, now):
+        """Return the cost of an engine for a prompt, in seconds."""
+        engine = self._engine(candidate.identity)
+        prefill = engine.uncached_tokens(placement) / self.prefill_rate.tokens_per_second
+        cost = max(0.0, engine.reading_until - now)
+        cost += prefill * candidate.ratio * _PREFILL_WEIGHT
+        cost += len(engine.running) * _RUNNING_REQUEST_SECONDS
+        if prefill and not self._is_preferred(placement, candidate):
+            cost += _NOT_PREFERRED_SECONDS
+        if placement.data_centre and candidate.data_centre != placement.data_centre:
+            cost += placement.input_bytes / 1e6 * _TRANSFER_SECONDS_PER_MEGABYTE
         return cost
--- a/traystall/passthrough/placement/placing.py
+++ b/traystall/passthrough/placement/placing.py
@@ -1,4 +1,7 @@
-"""Ask the gateway that places a pool's prompts, or place here if it does not answer."""
+"""Place prompts on engines through the placer of a pool, or locally if it does not respond.
+
+The placer of a pool is the one gateway that places its prompts for all gateways.
+"""
 
 import asyncio
 import logging
@@ -10,28 +13,28 @@
 from traystall.passthrough.health.board import TargetView
 from traystall.passthrough.ownership.owners import placing_key
 from traystall.passthrough.placement.engines import (
-    EngineChoice,
+    EngineCandidate,
     EnginePlacer,
-    Placement,
+    PlacementQuery,
     PromptPart,
 )
 from traystall.rpc.client import LinkPool
 from traystall.rpc.gen.wire.ttypes import PlaceNote, PlaceReply, PlaceRequest
 
-# An answer that takes longer than this, in seconds, costs more than a worse choice.
-_ASK_TIMEOUT = 0.06
-# So many late answers in a row and another gateway is asked.
-_MAX_LATE = 3
+# A slower response costs more than a worse choice of the engine.
+_REQUEST_TIMEOUT_SECONDS = 0.06
+# After this many timeouts in a row another gateway is asked.
+_MAX_TIMEOUT_COUNT = 3
 _STARTED = "started"
 _ENDED = "ended"
-# Choices for the same request far apart in time are made anew; so are notes out of order.
-_RETAIN_SECONDS = 5.0
+# Interval at which engines that are gone and placements without a reported end are removed.
+_RETAIN_INTERVAL_SECONDS = 5.0
 
 logger = logging.getLogger(__name__)
 
 
 class Placing:
-    """Place prompts on engines, for this gateway and for those that ask it."""
+    """Place prompts on engines for this gateway and for the peers that send their prompts to it."""
 
     def __init__(self, context, links: LinkPool):
         self._context = context
@@ -39,10 +42,10 @@
         self._placers: dict[str, EnginePlacer] = {}
         self._tasks: set[asyncio.Task] = set()
         self._retain_due = 0.0
-        self._late = 0
+        self._timeout_count = 0
 
     async def choose(self, passed: PassRequest, book: bool) -> TargetView | None:
-        """Return the engine for a request; `book` counts the prompt as being read there."""
+        """Return the engine for a request; `book` adds the prompt to the load of that engine."""
         request = PlaceRequest(
             pool=passed.pool,
             request_id=passed.request_id,
@@ -70,10 +73,10 @@
         return self._place(request, for_all=True)
 
     def _place(self, request, *, for_all) -> PlaceReply:
-        """Place a prompt by what this gateway knows; `for_all` if it places for all gateways."""
+        """Place a prompt by local state; `for_all` if this gateway is the placer of the pool."""
         now = clock.monotonic()
         placer = self._placer(request.pool, now)
-        placement = Placement(
+        placement = PlacementQuery(
             request.request_id,
             tuple(
                 PromptPart(name, size)
@@ -84,24 +87,24 @@
             request.input_bytes or 0,
         )
         places = tuple(request.places or ())
-        choices = self._choices(request.pool, set(request.excluded or ()), places, for_all)
+        candidates = self._candidates(request.pool, set(request.excluded or ()), places, for_all)
         if request.book:
-            identity = placer.place(placement, choices, now)
+            identity = placer.place(placement, candidates, now)
             if identity:
                 self._context.cold.note_sent(self._context.board.view(identity))
             return PlaceReply(identity=identity)
-        return PlaceReply(identity=placer.likely(placement, choices, now))
+        return PlaceReply(identity=placer.best_engine(placement, candidates, now))
 
     def started(self, passed: PassRequest) -> None:
-        """Tell that a request's first event came."""
+        """Report the first event of a request."""
         self._tell(passed, _STARTED)
 
     def ended(self, passed: PassRequest) -> None:
-        """Tell that a request's attempt is over."""
+        """Report the end of a request's attempt."""
         self._tell(passed, _ENDED)
 
     def note_here(self, note: PlaceNote) -> None:
-        """Take in what became of a placement."""
+        """Record a report on a placement."""
         now = clock.monotonic()
         placer = self._placer(note.pool, now)
         if note.what == _STARTED:
@@ -110,42 +113,49 @@
             placer.ended(note.request_id, now)
 
     def close(self) -> None:
-        """End what is under way."""
+        """Cancel the reports that are being sent."""
         for task in self._tasks:
             task.cancel()
 
     async def _ask(self, owner, request) -> TargetView | None:
         try:
-            reply = await self._links.link(owner.rpc_address).call(request, _ASK_TIMEOUT)
+            reply = await self._links.link(owner.rpc_address).call(
+                request, _REQUEST_TIMEOUT_SECONDS
+            )
         except RpcError as error:
             self._on_error(owner, error)
             decision("place-here", request=request.request_id, why=str(error))
             return None
-        self._late = 0
+        self._timeout_count = 0
         view = self._context.board.view(reply.identity or "")
         if view is None or view.is_misplaced or self._context.is_evacuated(view):
             return None
         now = clock.monotonic()
         if not view.connections.has_room() or now < view.avoid_until:
             return None
-        # The other gateway may not know that it leaves, and what it asks here binds only this one.
+        # The placer may not know that the target is leaving, or that it has asked this gateway
+        # alone to back off.
         return view if view.may_get_work(now) else None
 
     def _held_back(self, pool) -> set[str]:
         return self._context.board.held_back(pool, clock.monotonic())
 
     def _on_error(self, owner, error):
-        """Leave a placer out that is gone, or that has been late several times in a row.
+        """Exclude a placer that is gone or that has timed out several times in a row.
 
-        A single late answer may be a lost packet.
+        A single timeout may be due to a lost packet.
         """
-        self._late += 1
-        if not isinstance(error, RpcTimeout) or self._late >= _MAX_LATE:
-            self._late = 0
+        self._timeout_count += 1
+        if not isinstance(error, RpcTimeout) or self._timeout_count >= _MAX_TIMEOUT_COUNT:
+            self._timeout_count = 0
             self._context.owners.on_error(owner.identity, error)
 
     def _tell(self, passed, what):
-        """Tell who placed a request, whoever places now: only there it is counted."""
+        """Record a report here, and send it to the gateway that placed the request.
+
+        The pool may have another placer by now, but only the gateway that placed the request
+        counts it.
+        """
         note = PlaceNote(pool=passed.pool, request_id=passed.request_id, what=what)
         self.note_here(note)
         if passed.placed_at:
@@ -157,23 +167,23 @@
         try:
             await link.send(note)
         except RpcError as error:
-            logger.debug("placer not told", extra={"why": str(error)})
+            logger.debug("placement report not sent", extra={"why": str(error)})
 
     def _placer(self, pool, now) -> EnginePlacer:
         placer = self._placers.setdefault(pool, EnginePlacer())
         if now >= self._retain_due:
-            self._retain_due = now + _RETAIN_SECONDS
+            self._retain_due = now + _RETAIN_INTERVAL_SECONDS
             for name, held in self._placers.items():
                 views = self._context.board.pool(name)
                 held.retain({view.identity for view in views}, now)
             self._context.cold.retain()
         return placer
 
-    def _choices(self, pool, excluded, places, for_all) -> list[EngineChoice]:
+    def _candidates(self, pool, excluded, places, for_all) -> list[EngineCandidate]:
         found = self._context.index.pools.get(pool)
         memory = found.engine.memory_tokens if found and found.engine else 0
         return [
-            EngineChoice(view.identity, view.report.data_centre, memory, view.ratio)
+            EngineCandidate(view.identity, view.report.data_centre, memory, view.ratio)
             for view in self._context.usable(pool, places, closed_too=for_all)
             if view.identity not in excluded
             and view.connections.has_room()
--- a/traystall/passthrough/placement/read_rate.py
+++ b/traystall/passthrough/placement/read_rate.py
@@ -1,39 +1,46 @@
-"""Learn how fast the engines of a pool read prompts. Pure; times are monotonic seconds."""
-
-# Engines are taken to read so many prompt tokens a second until one was seen.
-USUAL_TOKENS_PER_SECOND = 60_000.0
-# Prompts with less to read say nothing: what surrounds the reading takes most of their time.
-_LEAST_TOKENS = 1500
-# Weight of the newest prompt, and bounds in tokens a second.
-_LEARNING = 0.1
+"""Learn how fast the engines of a pool read prompts (prefill); times are monotonic seconds.
+
+The module does no I/O.
+"""
+
+# Assumed prefill rate until the first sample.
+DEFAULT_TOKENS_PER_SECOND = 60_000.0
+# Shorter prompts give no sample: most of their time is overhead around the prefill.
+_MIN_SAMPLE_TOKENS = 1500
+# Weight of the newest sample, and bounds of a sample in tokens per second.
+_SAMPLE_WEIGHT = 0.1
 _MIN_RATE, _MAX_RATE = 10_000.0, 200_000.0
-# What the first event takes beside the reading, in seconds.
+# Time from the end of the prefill to the first event.
 _FIRST_EVENT_SECONDS = 0.05
 
 
-class ReadRate:
+class PrefillRate:
     """Measure prompts that an engine reads alone, from their placement to their first event."""
 
     def __init__(self):
-        self.tokens_per_second = USUAL_TOKENS_PER_SECOND
-        # Since when a prompt is read, and how many tokens of it, by request.
-        self._alone: dict[str, tuple[float, int]] = {}
-
-    def began(self, request_id: str, tokens: int, beside: set[str], now: float) -> None:
-        """Note a prompt of which `tokens` are to be read, where those `beside` it are read too."""
-        for other in beside:
-            self._alone.pop(other, None)
-        if not beside and tokens >= _LEAST_TOKENS:
-            self._alone[request_id] = (now, tokens)
-
-    def came(self, request_id: str, now: float) -> None:
-        """Learn from the first event of a request."""
-        since, tokens = self._alone.pop(request_id, (now, 0))
+        self.tokens_per_second = DEFAULT_TOKENS_PER_SECOND
+        # The start time and the number of tokens of each prompt being measured, by request.
+        self._samples: dict[str, tuple[float, int]] = {}
+
+    def on_placed(self, request_id: str, tokens: int, concurrent: set[str], now: float) -> None:
+        """Start to measure a prompt with `tokens` to read, if the engine reads no other prompt.
+
+        `concurrent` holds the requests whose prompts the engine is reading now; their samples are
+        dropped.
+        """
+        for other in concurrent:
+            self._samples.pop(other, None)
+        if not concurrent and tokens >= _MIN_SAMPLE_TOKENS:
+            self._samples[request_id] = (now, tokens)
+
+    def on_first_event(self, request_id: str, now: float) -> None:
+        """Update the rate at the first event of a measured request."""
+        since, tokens = self._samples.pop(request_id, (now, 0))
         seconds = now - since - _FIRST_EVENT_SECONDS
         if tokens and seconds > 0:
             found = min(_MAX_RATE, max(_MIN_RATE, tokens / seconds))
-            self.tokens_per_second += _LEARNING * (found - self.tokens_per_second)
+            self.tokens_per_second += _SAMPLE_WEIGHT * (found - self.tokens_per_second)
 
-    def forget(self, request_id: str) -> None:
-        """Drop a request that ended before its first event."""
-        self._alone.pop(request_id, None)
+    def discard(self, request_id: str) -> None:
+        """Drop the sample of a request that ended before its first event."""
+        self._samples.pop(request_id, None)
