--- a/tests/passthrough/test_admission.py
+++ b/tests/passthrough/test_admission.py
@@ -1,4 +1,4 @@
-"""Requests that could not be in time are refused at once; those that have begun go through."""
+"""Requests that cannot finish in time are refused at once; admitted ones are never refused."""
 
 import functools
 
@@ -19,41 +19,41 @@
     return Arrival(name, ROUTE, counts, priority, slack, 6.0, mark or name)
 
 
-def nothing(pool, priority, due):
+def empty_queue(pool, priority, due):
     return 0
 
 
 def admit(book, request, waiting, rates, now):
-    """Ask a book about a request whose pools have such queues and rates, and calls of 0.2 s."""
+    """Ask for admission at pools with the given queues and rates, and calls of 0.2 s."""
     loads = {pool: PoolLoad(functools.partial(waiting, pool), rates[pool], 0.2) for pool in rates}
     return book.admit(request, loads, now)
 
 
-def test_idle_system_lets_everything_in():
-    assert admit(AdmissionBook(), arrival("a"), nothing, RATES, 0.0).admitted
+def test_idle_system_admits_a_request():
+    assert admit(AdmissionBook(), arrival("a"), empty_queue, RATES, 0.0).admitted
 
 
-def test_what_others_have_begun_counts():
+def test_expected_pieces_of_admitted_requests_count():
     book = AdmissionBook()
-    admitted = [admit(book, arrival(str(i)), nothing, RATES, 0.0).admitted for i in range(20)]
+    admitted = [admit(book, arrival(str(i)), empty_queue, RATES, 0.0).admitted for i in range(20)]
     assert admitted[0] and not admitted[-1]
     assert book.to_come("q", 1) == 8 * sum(admitted)
-    assert book.to_come("q", 0) == 0, "less urgent work does not count for urgent work"
+    assert book.to_come("q", 0) == 0, "less urgent pieces do not count for urgent work"
 
 
-def test_refusal_says_when_to_come_back():
+def test_refusal_has_a_retry_delay():
     verdict = admit(AdmissionBook(), arrival("a"), lambda pool, priority, due: 400, RATES, 0.0)
     assert not verdict.admitted
     assert 0.2 <= verdict.retry_after <= 2.0
 
 
-def test_request_that_has_begun_goes_through():
+def test_admitted_request_is_never_refused():
     book = AdmissionBook()
-    assert admit(book, arrival("a"), nothing, RATES, 0.0).admitted
+    assert admit(book, arrival("a"), empty_queue, RATES, 0.0).admitted
     assert admit(book, arrival("a"), lambda pool, priority, due: 10**6, RATES, 1.0).admitted
 
 
-def test_request_that_came_back_waits_until_there_is_plenty():
+def test_returning_request_waits_for_ample_capacity():
     def waiting(pool, priority, due):
         return pieces if pool == "p" else 0
 
@@ -63,7 +63,7 @@
     book.refuse("m", 0.0)
     again = admit(book, arrival("b", mark="m"), waiting, RATES, 1.0)
     assert not again.admitted and again.came_back
-    assert book.to_come("q", 1) == 0, "it holds nothing while it waits"
+    assert book.to_come("q", 1) == 0, "a waiting request holds no resource"
     pieces = 9
     assert not admit(book, arrival("b", mark="m"), waiting, RATES, 1.1).admitted
     assert admit(book, arrival("c", mark="n"), waiting, RATES, 1.1).admitted
@@ -71,17 +71,17 @@
     assert admit(book, arrival("b", mark="m"), waiting, {"p": 400.0, "q": 800.0}, 1.2).admitted
 
 
-def test_long_prompt_without_slack_is_let_in_while_others_are():
+def test_long_prompt_without_slack_is_admitted_while_others_are():
     def waiting(pool, priority, due):
         return 6 if pool == "p" else 0
 
     assert admit(AdmissionBook(), arrival("a", slack=-0.4), waiting, RATES, 0.0).admitted
 
 
-def test_finished_ended_and_lost_requests_no_longer_count():
+def test_finished_ended_and_expired_requests_no_longer_count():
     book = AdmissionBook()
     for name in "abc":
-        admit(book, arrival(name), nothing, RATES, 0.0)
+        admit(book, arrival(name), empty_queue, RATES, 0.0)
     book.asked("a", 0)
     assert book.to_come("p", 1) == 2
     book.asked("a", 1)
@@ -89,12 +89,12 @@
     book.made("a", 1, 0.5, 1.2)
     book.ended("b")
     assert book.to_come("q", 1) == 8
-    admit(book, arrival("d"), nothing, RATES, 100.0)
-    assert book.to_come("q", 1) == 8, "only the newest is left"
+    admit(book, arrival("d"), empty_queue, RATES, 100.0)
+    assert book.to_come("q", 1) == 8, "only the newest request remains"
 
 
 @pytest.mark.parametrize(("factor", "sign"), [(3.0, 1), (0.2, -1)])
-def test_forecasts_follow_how_requests_fare(factor, sign):
+def test_scale_follows_the_actual_waits(factor, sign):
     book = AdmissionBook()
     for i in range(60):
         began = i * 0.1
@@ -106,16 +106,16 @@
     assert (book.scale - 0.7) * sign > 0.1
 
 
-def test_what_was_learned_fades():
-    """A scale that lets nobody in must not stay because nobody was let in."""
+def test_scale_decays():
+    """Without the decay, a scale that admits no request gets no sample that corrects it."""
     book = AdmissionBook()
-    admit(book, arrival("a"), nothing, RATES, 0.0)
+    admit(book, arrival("a"), empty_queue, RATES, 0.0)
     book.scale = 2.0
-    admit(book, arrival("b"), nothing, RATES, 12.0)
+    admit(book, arrival("b"), empty_queue, RATES, 12.0)
     assert book.scale < 0.8
 
 
-def test_urgent_arrivals_slow_less_urgent_work_down():
+def test_urgent_arrivals_delay_less_urgent_work():
     forecast = WaitForecast()
     alone = forecast.seconds(2, 20, 40.0, 0.0)
     for step in range(100):
--- a/tests/passthrough/test_crowd.py
+++ b/tests/passthrough/test_crowd.py
@@ -1,4 +1,4 @@
-"""Rushes at pools that kinds share: who is served, beside the decisions without parts."""
+"""Load peaks at shared pools: the served ratio by route, with and without capacity shares."""
 
 import functools
 from collections import Counter
@@ -31,10 +31,10 @@
 
 
 @functools.cache
-def played(site, name, seed, by_parts=True):
-    """Return the fates of a rush; without parts as where a configuration calls for none."""
+def simulate(site, name, seed, with_shares=True):
+    """Return the outcome of each request of a burst; without shares no pool counts as shared."""
     pools, kinds = site()
-    crowd = Crowd(pools, kinds, seed, shared=None if by_parts else frozenset())
+    crowd = Crowd(pools, kinds, seed, shared=None if with_shares else frozenset())
     return crowd.run(SECONDS, burst_of(name))
 
 
@@ -43,18 +43,18 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_patient_kind_no_longer_keeps_an_impatient_one_out(seed):
-    before = parts(played(patient_and_impatient, "brief", seed, False))
-    after = parts(played(patient_and_impatient, "brief", seed))
+def test_route_with_long_goal_does_not_displace_one_with_a_short_goal(seed):
+    before = parts(simulate(patient_and_impatient, "brief", seed, False))
+    after = parts(simulate(patient_and_impatient, "brief", seed))
     assert before["chat"] < 0.7 < 0.8 < after["chat"]
     assert after["brief"] > 0.8
     assert after["dossier"] > 0.98
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_tight_kinds_are_refused_rather_than_served_a_little_late(seed):
-    before = played(alike_in_patience, "explain", seed, False)
-    after = played(alike_in_patience, "explain", seed)
+def test_requests_of_tight_routes_are_refused_instead_of_served_late(seed):
+    before = simulate(alike_in_patience, "explain", seed, False)
+    after = simulate(alike_in_patience, "explain", seed)
     assert parts(after)["explain"] > parts(before)["explain"] + 0.1
     assert parts(after)["reminder"] > parts(before)["reminder"] + 0.05
     late = [sum(fate.outcome == LATE for fate in fates) for fates in (before, after)]
@@ -62,21 +62,21 @@
 
 
 @pytest.mark.parametrize("site", [patient_and_impatient, alike_in_patience])
-def test_nothing_is_refused_where_nothing_is_crowded(site):
-    outcomes = Counter(fate.outcome for fate in played(site, "none", 1))
+def test_no_request_is_refused_without_congestion(site):
+    outcomes = Counter(fate.outcome for fate in simulate(site, "none", 1))
     assert outcomes[IN_TIME] > 0.98 * outcomes.total()
     assert set(outcomes) <= {IN_TIME, LATE}
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_refusals_come_at_once_and_what_begins_ends(seed):
-    outcomes = Counter(fate.outcome for fate in played(patient_and_impatient, "brief", seed))
+def test_refusals_are_immediate_and_admitted_requests_finish(seed):
+    outcomes = Counter(fate.outcome for fate in simulate(patient_and_impatient, "brief", seed))
     assert outcomes[REFUSED_LATE] == outcomes[LOST] == 0
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_small_customers_are_not_refused_more_than_the_largest(seed):
-    counts = read_out(played(alike_in_patience, "explain", seed), "customer")
+def test_small_customers_are_refused_less_than_the_largest(seed):
+    counts = read_out(simulate(alike_in_patience, "explain", seed), "customer")
     small = sum((counts[f"c{number}"] for number in range(8, 16)), Counter())
 
     def refused(found):
@@ -85,7 +85,7 @@
     assert refused(small) < refused(counts["c0"]) / 2
 
 
-def test_who_repeats_at_once_gains_nothing_and_others_lose_little():
+def test_immediate_retries_gain_nothing_and_cost_other_customers_little():
     def play(repeaters):
         pools, kinds = alike_in_patience()
         crowd = Crowd(pools, kinds, 3)
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize("name", FAULTS)
-def test_trouble_in_the_middle_of_a_rush_starves_nobody(name):
+def test_faults_during_a_burst_starve_no_route(name):
     pools, kinds = alike_in_patience()
     crowd = Crowd(pools, kinds, 1)
     fates = crowd.run(SECONDS, burst_of("explain"), FAULTS[name](crowd))
--- a/tests/passthrough/test_crowding.py
+++ b/tests/passthrough/test_crowding.py
@@ -1,4 +1,4 @@
-"""A pool counts as crowded by what the least patient kind that asks there may wait."""
+"""The patience of the least patient active route determines whether a pool is congested."""
 
 import pytest
 
@@ -19,7 +19,7 @@
 
 
 def loads(due_at, pieces, rate=100.0):
-    """Return pools in which `pieces` wait that should begin at `due_at`."""
+    """Return pools whose queue holds `pieces` with the start deadline `due_at`."""
 
     def waiting(priority, due):
         return pieces if due_at <= due else 0
@@ -27,52 +27,52 @@
     return {pool: PoolLoad(waiting, rate, 0.2) for pool in SHARED}
 
 
-def ask(book, name, route, now, pieces=0, due_at=0.0, customer="c"):
+def admit(book, name, route, now, pieces=0, due_at=0.0, customer="c"):
     return book.admit(arrival(name, route, customer), loads(due_at, pieces), now, SHARED)
 
 
-def test_what_may_wait_longer_goes_after_an_impatient_request():
+def test_impatient_request_goes_before_work_with_a_later_deadline():
     book = AdmissionBook()
-    assert ask(book, "a", QUICK, 10.0, pieces=150, due_at=12.0).admitted
-    assert not ask(book, "b", QUICK, 10.0, pieces=150, due_at=10.1).admitted
+    assert admit(book, "a", QUICK, 10.0, pieces=150, due_at=12.0).admitted
+    assert not admit(book, "b", QUICK, 10.0, pieces=150, due_at=10.1).admitted
 
 
-def test_long_queue_of_patient_work_is_no_crowd_where_only_patient_kinds_ask():
+def test_long_queue_is_no_congestion_if_all_active_routes_are_patient():
     book = AdmissionBook()
     verdicts = [
-        ask(book, f"r{n}", PATIENT, 10.0 + n * 0.02, pieces=60, due_at=11.0) for n in range(50)
+        admit(book, f"r{n}", PATIENT, 10.0 + n * 0.02, pieces=60, due_at=11.0) for n in range(50)
     ]
     assert all(verdict.admitted and not verdict.binding for verdict in verdicts)
 
 
-def test_the_same_queue_is_a_crowd_while_an_impatient_kind_asks():
+def test_same_queue_is_congestion_while_an_impatient_route_is_active():
     book = AdmissionBook()
     verdicts = []
     for n in range(200):
         now = 10.0 + n * 0.01
         route = QUICK if n % 4 == 0 else PATIENT
-        verdicts.append(ask(book, f"r{n}", route, now, pieces=60, due_at=11.0))
+        verdicts.append(admit(book, f"r{n}", route, now, pieces=60, due_at=11.0))
     bound = [verdict for verdict in verdicts[100:] if verdict.binding]
     assert bound
     assert all(0.0 < verdict.part < 1.0 for verdict in bound)
 
 
-def test_a_customer_that_does_not_get_in_by_waiting_is_told_so():
-    verdict = ask(AdmissionBook(), "a", QUICK, 10.0, pieces=500, due_at=10.0)
+def test_refusal_reports_the_wait_until_admission_is_possible():
+    verdict = admit(AdmissionBook(), "a", QUICK, 10.0, pieces=500, due_at=10.0)
     assert not verdict.admitted
     assert verdict.seconds_to_turn > 1.0
     assert verdict.retry_after > 0.0
 
 
 @pytest.mark.parametrize("later", [0.0, 2.5, 60.0])
-def test_who_asks_again_much_later_is_still_answered(later):
-    """The newest look at a pool's kinds may be older than what is remembered of them."""
+def test_much_later_retry_gets_a_decision(later):
+    """The last update of a pool may be older than the time for which its routes are remembered."""
     book = AdmissionBook()
-    ask(book, "a", QUICK, 10.0, pieces=500, due_at=10.0)
-    assert not ask(book, "a", QUICK, 10.0 + later, pieces=500, due_at=10.0).admitted
+    admit(book, "a", QUICK, 10.0, pieces=500, due_at=10.0)
+    assert not admit(book, "a", QUICK, 10.0 + later, pieces=500, due_at=10.0).admitted
 
 
-def test_without_shared_pools_nothing_of_it_is_counted():
+def test_demand_is_not_counted_without_shared_pools():
     book = AdmissionBook()
     book.admit(arrival("a", QUICK), loads(0.0, 0), 10.0)
     assert book.demand.rows() == 0
--- a/tests/passthrough/test_decisions.py
+++ b/tests/passthrough/test_decisions.py
@@ -1,4 +1,4 @@
-"""Budgets, prompts and choices: pure decisions of a pass-through gateway."""
+"""Decisions of a pass-through gateway without I/O: budgets, prompts, placement and memory."""
 
 import random
 from collections import Counter
@@ -27,7 +27,7 @@
 
 @pytest.mark.parametrize("gateways", [1, 3, 9, 85])
 @pytest.mark.parametrize("rate", [0, 5, 50])
-def test_repeats_of_all_gateways_stay_within_the_rule(gateways, rate):
+def test_repeats_of_all_gateways_stay_within_the_budget(gateways, rate):
     budgets = [RepeatBudget(RULE) for _ in range(gateways)]
     repeats, requests = [], []
     for step in range(3000):
@@ -54,7 +54,7 @@
         ("a:x,b", "", ((("a", 0), ("b", 0)), 0, 0)),
     ],
 )
-def test_prompts_are_read_from_headers(parts, counts, prompt):
+def test_prompts_are_parsed_from_headers(parts, counts, prompt):
     named, tokens, most = prompt
     expected = Prompt(tuple(PromptPart(*part) for part in named), tokens, most)
     assert parse_prompt(parts, counts) == expected
@@ -75,7 +75,7 @@
     assert choose_target([], set(), "here", 0.0, random.Random(1), 0.0) is None
 
 
-def test_slow_target_gets_less():
+def test_slow_target_gets_fewer_requests():
     made = board(2)
     fast, slow = made.pool("p")
     fast.mean_seconds, slow.mean_seconds = 0.1, 0.5
@@ -87,8 +87,8 @@
     assert choose_target([fast, slow], set(), "here", mean, random.Random(1), 0.0) is slow
 
 
-def test_target_that_starts_again_under_its_name_begins_anew():
-    """Connections, failures, learned times and what kept work away belong to the earlier life."""
+def test_restarted_target_starts_with_empty_state():
+    """Connections, failures, durations and exclusions belong to the previous incarnation."""
     made = board(1)
     first = TargetReport("t0", "p", "10.0.0.0:80", "here", slots=4, sequence=9, started=1000)
     made.merge(first, 1.0)
@@ -107,24 +107,24 @@
     assert made.sign_of_end(again) == ""
 
 
-def two_places():
+def two_data_centres():
     made = board(2)
     near, far = made.pool("p")
     far.report = msgspec.structs.replace(far.report, data_centre="there")
     return made, near, far
 
 
-def test_target_that_was_slow_for_a_moment_gets_work_again():
-    """One stale figure kept a data centre idle for good beside another that was idle too."""
-    _, near, far = two_places()
+def test_target_that_was_slow_once_gets_requests_again():
+    """A stale duration must not keep a data centre idle while another one is idle as well."""
+    _, near, far = two_data_centres()
     near.mean_seconds, near.learned_at = 0.4, 0.0
     for now, wanted in ((1.0, far), (30.0, near)):
         far.mean_seconds, far.learned_at = 0.1, now
         assert choose_target([near, far], set(), "here", 0.1, random.Random(1), now) is wanted
 
 
-def test_differences_of_milliseconds_move_no_work_to_another_data_centre():
-    made, near, far = two_places()
+def test_difference_of_milliseconds_moves_no_request_to_another_data_centre():
+    made, near, far = two_data_centres()
     near.mean_seconds, far.mean_seconds = 0.004, 0.002
     near.learned_at = far.learned_at = 0.0
     mean = made.mean_seconds("p")
@@ -139,7 +139,7 @@
     return PlacementQuery(request_id, parts, tokens, home, input_bytes)
 
 
-def test_shared_parts_are_read_once():
+def test_shared_part_is_read_by_one_engine():
     placer = EnginePlacer()
     first = placer.place(prompt("a"), ENGINES, 0.0)
     placer.started("a", 0.3)
@@ -148,7 +148,7 @@
     assert placer.place(prompt("c", shared="other"), ENGINES, 2.0) != first
 
 
-def test_another_placer_finds_what_the_first_has_placed():
+def test_two_placers_choose_the_same_engine_for_a_shared_part():
     names = [f"shared {i}" for i in range(60)]
     first, second = EnginePlacer(), EnginePlacer()
     placed = [first.place(prompt(n, shared=n), ENGINES, i * 0.4) for i, n in enumerate(names)]
@@ -156,7 +156,7 @@
     assert sum(a == b for a, b in zip(placed, again, strict=True)) > 50
 
 
-def test_busy_engine_is_left_for_an_idle_one():
+def test_prompts_move_from_a_busy_engine_to_idle_ones():
     placer = EnginePlacer()
     first = placer.place(prompt("a"), ENGINES, 0.0)
     placed = [placer.place(prompt(f"b{i}"), ENGINES, 0.0) for i in range(8)]
@@ -169,20 +169,20 @@
     assert len(set(placed)) == 9
 
 
-def test_inputs_draw_a_prompt_to_their_data_centre():
+def test_prompt_is_placed_in_the_data_centre_of_large_inputs():
     placer = EnginePlacer()
     placed = placer.place(prompt("a", home="y", input_bytes=7_500_000), ENGINES, 0.0)
     assert placed in {"e1", "e4", "e7"}
 
 
-def test_slow_engine_gets_less():
+def test_slow_engine_gets_fewer_prompts():
     choices = [EngineCandidate("slow", "x", 600_000, 4.0), EngineCandidate("fast", "x", 600_000)]
     placer = EnginePlacer()
     placed = Counter(placer.place(prompt(str(i), shared=str(i)), choices, 0.0) for i in range(10))
     assert placed["fast"] > placed["slow"]
 
 
-def test_lost_notes_and_engines_are_forgotten():
+def test_lost_placements_and_engines_are_removed():
     placer = EnginePlacer()
     placer.place(prompt("a"), ENGINES[:1], 0.0)
     placer.retain({"e0"}, 100.0)
@@ -191,7 +191,7 @@
     assert placer.place(prompt("c"), [], 100.0) == ""
 
 
-def test_kept_parts_give_way_when_memory_is_full():
+def test_cached_parts_are_evicted_when_memory_is_full():
     small = [EngineCandidate("e0", "x", 40_000)]
     placer = EnginePlacer()
     for i in range(5):
@@ -205,7 +205,7 @@
 PIECES = BatchProfile(batch=4, call_seconds=0.15, piece_seconds=0.03)
 
 
-def test_slow_worker_is_called_only_when_the_others_are_far_behind():
+def test_slow_worker_is_called_only_for_a_long_queue_or_after_a_pause():
     worker = Worker()
     worker.began(0.0, 0, 0.3)
     assert worker.wait(1, 0.1) > 0.19 and worker.wait(2, 0.1) == 0.0
@@ -215,11 +215,11 @@
     assert worker.ratio > SLOW_RATIO
     assert not worker.is_worth_calling(PIECES, 4, 2, 0.1)
     assert worker.is_worth_calling(PIECES, 100, 2, 0.1), "the queue is long"
-    assert worker.is_worth_calling(PIECES, 4, 0, 0.1), "there is no other"
-    assert worker.is_worth_calling(PIECES, 4, 2, 5.0), "it may have recovered"
+    assert worker.is_worth_calling(PIECES, 4, 0, 0.1), "there is no other worker"
+    assert worker.is_worth_calling(PIECES, 4, 2, 5.0), "the worker may have recovered"
 
 
-def test_room_is_counted_until_it_is_given_up():
+def test_result_memory_is_counted_until_it_is_released():
     book = RoomBook()
     book.reserve(30)
     book.unreserve(30)
@@ -232,7 +232,7 @@
     assert book.taken(6.0) == 0
 
 
-def test_room_bounds_the_rate_by_how_long_results_are_held():
+def test_result_memory_bounds_the_rate_by_the_hold_time():
     book = RoomBook()
     assert book.rate(100, 0.3, 0.0) == float("inf")
     for i in range(300):
@@ -241,18 +241,18 @@
     assert book.rate(100, 0.3, 300.0) == pytest.approx(10.0, rel=0.05)
 
 
-def test_what_others_hold_takes_room_until_it_must_be_over():
+def test_results_of_other_gateways_use_memory_until_they_expire():
     book = RoomBook()
     book.hold("own", 10, 0.0, 4.0)
     assert book.note_free(60, 100, 1.0, 4.0) == 30
     assert book.taken(1.0) == 40
-    assert book.note_free(85, 100, 1.5, 4.0) == 5, "the newest word counts"
+    assert book.note_free(85, 100, 1.5, 4.0) == 5, "the newest report counts"
     assert book.taken(1.5) == 15
     assert book.foreign(5.6) == 0
-    assert book.note_free(95, 100, 2.0, 4.0) == 0, "the worker has not counted a call yet"
+    assert book.note_free(95, 100, 2.0, 4.0) == 0, "the report does not include the last call yet"
 
 
-def test_room_that_others_hold_bounds_the_rate():
+def test_results_of_other_gateways_bound_the_rate():
     book = RoomBook()
     for i in range(300):
         book.hold(str(i), 10, float(i), 4.0)
@@ -263,7 +263,7 @@
     assert book.rate(100, 0.3, 305.0) == whole
 
 
-def test_room_shrinks_when_the_worker_refuses():
+def test_assumed_memory_shrinks_when_the_worker_refuses():
     book = RoomBook()
     for _ in range(50):
         book.on_refused()
@@ -273,7 +273,7 @@
     assert book.share == 1.0
 
 
-def test_keys_spread_over_engines_and_move_little():
+def test_rendezvous_order_spreads_keys_and_moves_few():
     names = [f"n{i}" for i in range(9)]
     first = {key: rendezvous_order(str(key), names)[0] for key in range(900)}
     assert max(Counter(first.values()).values()) < 150
@@ -281,7 +281,7 @@
     assert all(fewer[key] == first[key] for key in first if first[key] != "n0")
 
 
-def test_leaving_targets_get_nothing():
+def test_draining_target_gets_no_request():
     made = board(2)
     made.merge(TargetReport("t0", "p", "x:1", state=RegisteredState.DRAINING, sequence=5), 0.0)
     assert [view.identity for view in made.usable("p", 0.0, 0.0)] == ["t1"]
@@ -289,7 +289,7 @@
     assert [view.identity for view in made.usable("p", 0.0, 0.0)] == ["t1"]
 
 
-def test_doubtful_targets_are_used_only_if_all_are():
+def test_unhealthy_targets_are_used_only_if_all_are():
     made = board(2)
     good, bad = made.pool("p")
     bad.avoid_until = 5.0
--- a/tests/passthrough/test_differential.py
+++ b/tests/passthrough/test_differential.py
@@ -1,4 +1,4 @@
-"""Where nothing fails the gateway is a naive relay, to the target as to the caller."""
+"""Without faults the gateway behaves as a plain relay, both to the target and to the caller."""
 
 import random
 
@@ -9,8 +9,8 @@
 from tests.support.emulator.gateway import HOST, KEY, EmulatedGateway, run, table
 from tests.support.emulator.runner import Runner
 
-# What a relay of ours adds, or a client library writes by itself.
-_OWN = {
+# Headers that the gateway adds or that a client library sets by itself.
+_IGNORED_HEADERS = {
     "traystall-customer",
     "traystall-expected-incarnation",
     "traystall-deadline-ms",
@@ -45,12 +45,12 @@
 
 
 def _seen(request):
-    kept = [(n, v) for n, v in request["raw"] if n.lower() not in _OWN]
+    kept = [(n, v) for n, v in request["raw"] if n.lower() not in _IGNORED_HEADERS]
     return request["method"], request["path"], sorted(kept), request["body"]
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_gateway_is_a_naive_relay_where_nothing_fails(seed):
+def test_gateway_without_faults_equals_a_plain_relay(seed):
     async def play():
         rng = random.Random(seed)
         runner = await Runner().start()
@@ -59,15 +59,15 @@
             async with EmulatedGateway(table(), [("plain", runner)]) as gateway:
                 address = f"127.0.0.1:{gateway.port}"
                 key = {"Authorization": f"Token {KEY}"}
-                ours = [await _send(gateway.session, address, r, **key) for r in requests]
-                seen_by_ours = list(runner.runs)
+                via_gateway = [await _send(gateway.session, address, r, **key) for r in requests]
+                seen_via_gateway = list(runner.runs)
                 runner.runs.clear()
                 async with aiohttp.ClientSession(auto_decompress=False) as session:
-                    naive = [await _send(session, runner.address, r) for r in requests]
-                return ours, naive, seen_by_ours, runner.runs
+                    direct = [await _send(session, runner.address, r) for r in requests]
+                return via_gateway, direct, seen_via_gateway, runner.runs
         finally:
             await runner.stop()
 
-    ours, naive, seen_by_ours, seen_by_naive = run(play())
-    assert ours == naive
-    assert [_seen(r) for r in seen_by_ours] == [_seen(r) for r in seen_by_naive]
+    via_gateway, direct, seen_via_gateway, seen_direct = run(play())
+    assert via_gateway == direct
+    assert [_seen(r) for r in seen_via_gateway] == [_seen(r) for r in seen_direct]
--- a/tests/passthrough/test_forecast.py
+++ b/tests/passthrough/test_forecast.py
@@ -1,4 +1,4 @@
-"""Forecasts of admission: right in a burst, cautious when there is too much, cheap with many."""
+"""Admission forecasts are accurate in a burst and refuse requests beyond the capacity."""
 
 import msgspec
 import pytest
@@ -22,8 +22,8 @@
     return factor
 
 
-def play(name, load=1.0, seed=1):
-    """Return the parts of the requests that were refused, and in time, in a burst of one kind."""
+def simulate(name, load=1.0, seed=1):
+    """Return the refused and the in-time ratio of all requests in a burst of one route."""
     kinds = [msgspec.structs.replace(kind, rate=kind.rate * load) for kind in hive_kinds()]
     fates = Burst(hive_pools(), kinds, seed).run(SECONDS, burst_of(name))
     refused = sum(fate.refused for fate in fates) / len(fates)
@@ -32,17 +32,17 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("name", ["none", "brief", "summary", "chat"])
-def test_burst_that_fits_into_the_pools_is_let_in(name, seed):
-    """Counting all that will be asked as if it were asked now refused a quarter of these."""
-    refused, in_time = play(name, seed=seed)
+def test_burst_within_the_capacity_is_admitted(name, seed):
+    """Counting all expected pieces as if they arrived at once refuses a quarter of the requests."""
+    refused, in_time = simulate(name, seed=seed)
     assert refused < 0.01
     assert in_time > 0.98
 
 
 @pytest.mark.parametrize("name", ["brief", "chat"])
-def test_burst_that_does_not_fit_is_served_as_far_as_it_goes(name):
-    """What is let in is mostly in time; without any refusal nearly all would be late."""
-    refused, in_time = play(name, load=2.0)
+def test_burst_beyond_the_capacity_is_served_in_part(name):
+    """Most admitted requests finish in time; without refusals nearly all requests would be late."""
+    refused, in_time = simulate(name, load=2.0)
     late = 1 - refused - in_time
     assert refused > 0.1
     assert late < 0.25
@@ -55,7 +55,7 @@
 
 
 @given(EXPECTED, st.integers(0, 200), st.floats(1.0, 500.0), st.floats(0.0, 2.0), st.floats(0, 2))
-def test_backlog_is_what_comes_less_what_is_served(expected, waiting, rate, now, later):
+def test_backlog_is_the_arrivals_less_the_served_pieces(expected, waiting, rate, now, later):
     timeline = DemandTimeline()
     for priority, at, pieces in expected:
         timeline.expect(priority, at, pieces)
@@ -69,7 +69,7 @@
 
 
 @given(EXPECTED)
-def test_what_is_taken_back_leaves_nothing(expected):
+def test_removed_pieces_leave_no_backlog(expected):
     timeline = DemandTimeline()
     held = [timeline.expect(*one) for one in expected]
     assert timeline.total(2) == sum(pieces for _, _, pieces in expected)
@@ -79,14 +79,14 @@
     assert timeline.backlog(2, 7, 1.0, 0.0, 0.0) == 7
 
 
-def test_what_is_overdue_counts_as_coming_now():
+def test_overdue_pieces_count_as_arriving_now():
     timeline = DemandTimeline()
     timeline.expect(1, 1.0, 30)
     assert timeline.backlog(1, 0, 10.0, 5.0, 5.0) == 30
     assert timeline.backlog(1, 0, 10.0, 5.0, 6.0) == 20
 
 
-def test_stages_follow_one_another():
+def test_stages_start_after_their_predecessors():
     stages = (StagePlan("a"), StagePlan("a"), StagePlan("b", (0, 1)), StagePlan("c", (2,)))
     waits = {"a": 0.1, "b": 0.5, "c": 0.0}
     times = stage_times(
@@ -107,7 +107,7 @@
 
 
 @given(REQUESTS, st.integers(0, 300), st.floats(0.0, 200.0))
-def test_nobody_is_let_in_to_be_late_or_asked_back_too_late(requests, waiting, rate):
+def test_admitted_requests_are_in_time_and_retries_before_the_deadline(requests, waiting, rate):
     book = AdmissionBook()
     loads = {pool: PoolLoad(lambda priority, due: waiting, rate, 0.2) for pool in ("p", "q")}
     now = 0.0
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize("rates", [(0.0, 0.0), (0.0, 9.0), (9.0, 0.0), (1e-300, 9.0)])
-def test_pool_without_targets_lets_nobody_in(rates):
+def test_pool_without_targets_admits_no_request(rates):
     loads = {
         pool: PoolLoad(lambda priority, due: 5, rate, 0.2)
         for pool, rate in zip(("p", "q"), rates, strict=True)
--- a/tests/passthrough/test_handover.py
+++ b/tests/passthrough/test_handover.py
@@ -1,4 +1,4 @@
-"""A gateway that takes over batching goes by what the one before has told, for a moment."""
+"""A new batcher uses the queue waits of its predecessor for a short time."""
 
 import pytest
 
@@ -20,7 +20,7 @@
     return handover.add_to(loads(), now)["q"].waiting(0, float("inf"))
 
 
-def test_what_was_told_counts_until_those_who_began_have_asked():
+def test_reported_waits_count_until_the_takeover_is_complete():
     handover = Handover()
     handover.add_waits({"q": 0.5}, 0.1, 10.0)
     assert ahead(handover, 10.2) == 50
@@ -28,38 +28,38 @@
 
 
 @pytest.mark.parametrize(("age", "now"), [(3.0, 10.0), (-1.0, 10.0), (0.1, 12.0)])
-def test_old_and_late_words_say_nothing(age, now):
+def test_old_and_late_reports_are_ignored(age, now):
     handover = Handover()
     handover.add_to(loads(), 10.0)
     handover.add_waits({"q": 0.5}, age, now)
     assert ahead(handover, now) == 0
 
 
-def test_doubled_words_count_once():
+def test_repeated_reports_count_once():
     handover = Handover()
     for _ in range(3):
         handover.add_waits({"q": 0.5}, 0.1, 10.0)
     assert ahead(handover, 10.1) == 50
 
 
-def test_pools_that_are_no_more_are_passed_over():
+def test_reports_on_removed_pools_are_ignored():
     handover = Handover()
     handover.add_waits({"gone": 9.0}, 0.1, 10.0)
     assert ahead(handover, 10.1) == 0
 
 
 @pytest.mark.parametrize("wait", [float("inf"), float("nan"), -1.0])
-def test_pools_without_targets_there_are_judged_by_what_is_here(wait):
+def test_waits_that_are_not_finite_or_negative_are_ignored(wait):
     handover = Handover()
     handover.add_waits({"q": wait}, 0.1, 10.0)
     assert ahead(handover, 10.1) == 0
 
 
-def test_a_pool_that_lost_all_targets_is_told_and_taken_over():
-    """Its wait has no end; it once ended the requests of the next batcher with an error."""
-    nowhere = {pool: PoolLoad(lambda priority, due: 3, 0.0, 0.2) for pool in "pq"}
+def test_report_on_a_pool_without_targets_is_accepted():
+    """The wait of such a pool is infinite, which must not fail requests at the next batcher."""
+    no_targets = {pool: PoolLoad(lambda priority, due: 3, 0.0, 0.2) for pool in "pq"}
     before, after = AdmissionBook(), AdmissionBook()
-    assert not before.admit(arrival("a"), nowhere, 10.0, SHARED).admitted
+    assert not before.admit(arrival("a"), no_targets, 10.0, SHARED).admitted
     after.take_over(before.waits(10.1), 0.1, 10.2)
     assert after.admit(arrival("b"), loads(), 10.3, SHARED).admitted
 
@@ -68,7 +68,7 @@
     return Arrival(name, ROUTE, (1, 8), 1, 0.3, 6.0, name, made=made)
 
 
-def test_what_has_begun_elsewhere_goes_on_and_what_has_not_waits_its_turn():
+def test_request_admitted_elsewhere_goes_on_and_a_new_one_is_refused():
     book = AdmissionBook()
     book.take_over({"q": 5.0}, 0.1, 10.0)
     assert not book.admit(arrival("new"), loads(), 10.1, SHARED).admitted
--- a/tests/passthrough/test_places.py
+++ b/tests/passthrough/test_places.py
@@ -1,4 +1,4 @@
-"""A data centre is taken for cut off after a few silent peers, and found again."""
+"""A data centre counts as unreachable after timeouts of several peers, until it responds."""
 
 import asyncio
 import random
@@ -15,14 +15,14 @@
 from traystall.tables.gateways import GatewayRow
 
 
-def test_one_silent_peer_is_only_itself():
+def test_timeouts_of_one_peer_do_not_exclude_its_data_centre():
     watch = DataCentreWatch("here")
     for second in range(9):
         watch.on_silent("there", "a", float(second))
     assert not watch.is_out("there", 9.0)
 
 
-def test_two_silent_peers_mean_the_data_centre():
+def test_timeouts_of_two_peers_exclude_their_data_centre():
     watch = DataCentreWatch("here")
     watch.on_silent("there", "a", 0.0)
     watch.on_silent("there", "b", 0.5)
@@ -31,7 +31,7 @@
     assert not watch.is_out("there", 3.0)
 
 
-def test_longer_each_time_until_something_is_heard():
+def test_exclusion_grows_until_a_response_arrives():
     watch = DataCentreWatch("here")
     watch.on_silent("there", "a", 0.0)
     watch.on_silent("there", "b", 0.0)
@@ -43,21 +43,21 @@
     assert not watch.is_out("there", 4.0)
 
 
-def test_own_data_centre_is_never_out():
+def test_local_data_centre_is_never_excluded():
     watch = DataCentreWatch("here")
     for peer in "abcdef":
         watch.on_silent("here", peer, 0.0)
     assert not watch.is_out("here", 0.0)
 
 
-def test_signs_far_apart_do_not_add_up():
+def test_timeouts_far_apart_do_not_add_up():
     watch = DataCentreWatch("here")
     watch.on_silent("there", "a", 0.0)
     watch.on_silent("there", "b", 5.0)
     assert not watch.is_out("there", 5.0)
 
 
-def test_probes_without_an_answer_keep_a_data_centre_out():
+def test_failed_probes_extend_the_exclusion():
     watch = DataCentreWatch("here")
     watch.on_silent("there", "a", 0.0)
     watch.on_silent("there", "b", 0.0)
@@ -68,11 +68,13 @@
     watch.on_heard("there")
     assert not watch.is_out("there", 9.9)
     watch.extend("there", 10.0)
-    assert not watch.is_out("there", 10.0), "only one that is suspected is kept out"
+    assert not watch.is_out("there", 10.0), (
+        "probes extend only the exclusion of a suspected data centre"
+    )
 
 
-def test_probes_alone_do_not_keep_a_data_centre_out_for_ever():
-    """Its gateways may be lost while its targets are there."""
+def test_failed_probes_do_not_extend_the_exclusion_forever():
+    """The gateways of a data centre may have failed while its targets are available."""
     watch = DataCentreWatch("here")
     watch.on_silent("there", "a", 0.0)
     watch.on_silent("there", "b", 0.0)
@@ -81,11 +83,11 @@
     assert not watch.is_out("there", 30.0)
 
 
-@pytest.mark.parametrize("answers", [True, False])
-def test_prober_asks_gateways_of_the_data_centre(answers):
+@pytest.mark.parametrize("responds", [True, False])
+def test_prober_pings_gateways_of_the_data_centre(responds):
     async def play():
         async def handle(request):
-            if not answers:
+            if not responds:
                 await asyncio.sleep(3600)
             return PingReply(identity="there/1")
 
@@ -110,4 +112,4 @@
         await server.stop()
         return context.places.is_out("there", now + 0.5)
 
-    assert asyncio.run(play()) is not answers
+    assert asyncio.run(play()) is not responds
--- a/tests/passthrough/test_shared_pools.py
+++ b/tests/passthrough/test_shared_pools.py
@@ -1,4 +1,7 @@
-"""Gateways share a pool by parts where the configuration says so, and pass on what they know."""
+"""Gateways divide a pool into capacity shares if the configuration requires it.
+
+They also pass on the queue waits that the batcher reports.
+"""
 
 import asyncio
 
@@ -9,12 +12,12 @@
 from traystall.core.serialization import pack
 from traystall.routes.models import BatchProfile, Pool, Route, Split, StagePlan
 
-# Calls of 0.2 s when they are full, and an aim that two of them nearly fill.
+# A full call takes 0.2 s, so two of them take most of the latency goal of 0.5 s.
 PROFILE = BatchProfile(1, 2, 4, 0.1, 0.025, 1e6, 4.0)
 
 
 def tight_entities():
-    """Return a configuration whose staged route may wait little beside its stages."""
+    """Return a configuration whose staged route has little slack."""
     stages = (StagePlan("batches", (), 10), StagePlan("batches", (0,), 10))
     route = Route(
         "staged", "shop.example", "/staged/", (Split("engine"),), streamed=True, timeout=5.0
@@ -33,7 +36,7 @@
     await site.until_all("/plain/x", 200)
 
 
-async def rush(site, gateways, count):
+async def send_requests(site, gateways, count):
     calls = [
         site.call(gateways[number % len(gateways)], "/staged/x", **STAGED)
         for number in range(count)
@@ -45,35 +48,37 @@
     return [gateway.gateway_context for gateway in site.gateways]
 
 
-def test_a_configuration_with_tight_chains_calls_for_parts(tmp_path):
-    async def story(site):
+def test_tight_staged_route_makes_its_pool_shared(tmp_path):
+    async def scenario(site):
         await start(site, tight_entities())
         assert all(context.shared_pools() == {"batches"} for context in contexts(site))
-        statuses = await rush(site, (0, 1, 2), 36)
+        statuses = await send_requests(site, (0, 1, 2), 36)
         assert set(statuses) <= {200, 503}
         assert 200 in statuses
         told = [context.batcher.waits_told() for context in contexts(site)]
-        assert sum(bool(waits) for waits in told) >= 2, "who doesn't batch was told"
+        assert sum(bool(waits) for waits in told) >= 2, (
+            "gateways that do not batch received the waits"
+        )
         assert ("batches",) in [tuple(waits) for found in told for waits in found.values()]
         assert metrics.shared_part.get({"route": "staged"}) > 0.0
 
-    play(tmp_path, story, gateways=3)
+    play(tmp_path, scenario, gateways=3)
 
 
-def test_a_configuration_without_them_does_not(tmp_path):
-    async def story(site):
+def test_configuration_without_tight_routes_has_no_shared_pool(tmp_path):
+    async def scenario(site):
         await start(site, entities())
         assert not any(context.shared_pools() for context in contexts(site))
-        assert set(await rush(site, (0, 1), 12)) == {200}
+        assert set(await send_requests(site, (0, 1), 12)) == {200}
         assert not any(context.batcher.waits_told() for context in contexts(site))
 
-    play(tmp_path, story)
+    play(tmp_path, scenario)
 
 
-def test_the_loss_of_the_gateway_that_batches_loses_no_request(tmp_path):
-    async def story(site):
+def test_loss_of_the_batcher_fails_no_request(tmp_path):
+    async def scenario(site):
         await start(site, tight_entities())
-        await rush(site, (0, 1, 2), 9)
+        await send_requests(site, (0, 1, 2), 9)
         batching = next(
             number
             for number, context in enumerate(contexts(site))
@@ -82,7 +87,7 @@
         others = [number for number in range(3) if number != batching]
         running = []
         for number in range(10):
-            running.append(asyncio.create_task(rush(site, others, 3)))
+            running.append(asyncio.create_task(send_requests(site, others, 3)))
             await asyncio.sleep(0.3)
             if number == 3:
                 await site.gateways[batching].stop()
@@ -91,4 +96,4 @@
         assert set().union(*waves) <= {200, 503}
         assert any(200 in wave for wave in waves[5:])
 
-    play(tmp_path, story, gateways=3)
+    play(tmp_path, scenario, gateways=3)
