--- a/tests/passthrough/test_crowd.py
+++ b/tests/passthrough/test_crowd.py
@@ -86,7 +86,7 @@
 
 
 def test_immediate_retries_gain_nothing_and_cost_other_customers_little():
-    def play(repeaters):
+    def served(repeaters):
         pools, kinds = alike_in_patience()
         crowd = Crowd(pools, kinds, 3)
         crowd.repeaters = repeaters
@@ -94,7 +94,7 @@
         repeater = served_part(counts.pop("c0"))
         return repeater, served_part(sum(counts.values(), Counter()))
 
-    patient, repeating = play(set()), play({"c0"})
+    patient, repeating = served(set()), served({"c0"})
     assert repeating[0] <= patient[0] + 0.03
     assert repeating[1] >= patient[1] - 0.02
 
--- a/tests/passthrough/test_differential.py
+++ b/tests/passthrough/test_differential.py
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_gateway_without_faults_equals_a_plain_relay(seed):
-    async def play():
+    async def scenario():
         rng = random.Random(seed)
         runner = await Runner().start()
         requests = [_request(rng, number) for number in range(25)]
@@ -68,6 +68,6 @@
         finally:
             await runner.stop()
 
-    via_gateway, direct, seen_via_gateway, seen_direct = run(play())
+    via_gateway, direct, seen_via_gateway, seen_direct = run(scenario())
     assert via_gateway == direct
     assert [_seen(r) for r in seen_via_gateway] == [_seen(r) for r in seen_direct]
--- a/tests/passthrough/test_places.py
+++ b/tests/passthrough/test_places.py
@@ -85,7 +85,7 @@
 
 @pytest.mark.parametrize("responds", [True, False])
 def test_prober_pings_gateways_of_the_data_centre(responds):
-    async def play():
+    async def scenario():
         async def handle(request):
             if not responds:
                 await asyncio.sleep(3600)
@@ -112,4 +112,4 @@
         await server.stop()
         return context.places.is_out("there", now + 0.5)
 
-    assert asyncio.run(play()) is not responds
+    assert asyncio.run(scenario()) is not responds
--- a/traystall/admission/demand.py
+++ b/traystall/admission/demand.py
@@ -1,7 +1,8 @@
 """Measure the recent demand of routes and customers, and decide which customer may start next.
 
-The module does no I/O; times are monotonic seconds. A customer earns credit with each request that
-asks for admission, by its current share, and a request that is admitted costs one unit of credit.
+The module does no I/O; times are monotonic seconds. A `kind` is the name of a route. A customer
+earns credit with each request that asks for admission, by its current share, and a request that is
+admitted costs one unit of credit.
 """
 
 from collections.abc import Mapping
--- a/traystall/admission/patience.py
+++ b/traystall/admission/patience.py
@@ -11,7 +11,7 @@
 
 from traystall.routes.models import Pool, Route
 
-# Routes are told apart in queues and forecasts from this ratio of their slacks on. Below it, the
+# Queues and forecasts distinguish routes from this ratio of their slacks on. Below it, the
 # queue that one of them fills still leaves the other one a third of its own slack.
 UNEVEN_RATIO = 3.0
 # A route is tight if its slack is below this ratio of the duration of its stages. The unforeseen
--- a/traystall/passthrough/admission/crowding.py
+++ b/traystall/passthrough/admission/crowding.py
@@ -35,7 +35,7 @@
 
 
 class _MeanPatience(msgspec.Struct):
-    """Hold how long the requests of a route may wait on average, and when the last one came."""
+    """Hold how long the requests of a route may wait on average, and the time of the last one."""
 
     seconds: float
     at: float
@@ -93,7 +93,7 @@
         }
 
     def expire_requests(self, now: float) -> None:
-        """Remove the requests that came first too long ago."""
+        """Remove the requests that asked for admission too long ago."""
         while self._requests:
             request_id, at = next(iter(self._requests.items()))
             if now - at <= _REQUEST_TTL_SECONDS:
--- a/traystall/passthrough/placement/engines.py
+++ b/traystall/passthrough/placement/engines.py
@@ -165,7 +165,11 @@
             engine.running.pop(request_id, None)
 
     def retain(self, identities: set[str], now: float) -> None:
-        """Remove all engines but `identities`, and placements whose end was never reported."""
+        """Remove all engines but `identities`, and placements whose end was never reported.
+
+        A much later choice for the same request, or a report out of order, is therefore not joined
+        with an old placement.
+        """
         for identity in self._engines.keys() - identities:
             del self._engines[identity]
         for engine in self._engines.values():
--- a/traystall/passthrough/placement/placing.py
+++ b/traystall/passthrough/placement/placing.py
@@ -23,7 +23,7 @@
 
 # A slower response costs more than a worse choice of the engine.
 _REQUEST_TIMEOUT_SECONDS = 0.06
-# After this many timeouts in a row another gateway is asked.
+# After this many timeouts in a row the request goes to another gateway.
 _MAX_TIMEOUT_COUNT = 3
 _STARTED = "started"
 _ENDED = "ended"
