--- a/tests/admission/test_demand.py
+++ b/tests/admission/test_demand.py
@@ -2,24 +2,24 @@
 
 import pytest
 
-from traystall.admission.demand import Demand
+from traystall.admission.demand import DemandTracker
 
 PIECES = {"p": 1}
 
 
 def try_start(demand, kind, customer, now, rates):
     """Send one request; return whether it is admitted."""
-    demand.asked(kind, customer, PIECES, now)
-    demand.work_out(rates, now)
-    if not demand.may_begin(kind, customer):
+    demand.requested(kind, customer, PIECES, now)
+    demand.update_shares(rates, now)
+    if not demand.may_start(kind, customer):
         return False
-    demand.begins(kind, customer)
+    demand.record_start(kind, customer)
     return True
 
 
 def admitted_ratios(rates, seconds=10.0, loads=(("patient", "a", 50.0), ("quick", "b", 10.0))):
     """Return the admitted ratio of the requests after 2 s, by route and customer."""
-    demand = Demand()
+    demand = DemandTracker()
     times = sorted(
         (number / rate, kind, customer)
         for kind, customer, rate in loads
@@ -58,7 +58,7 @@
 
 
 def test_no_route_is_limited_after_a_load_peak():
-    demand = Demand()
+    demand = DemandTracker()
     for number in range(100):
         try_start(demand, "k", "a", number * 0.01, {"p": 10.0})
     assert demand.part("k").pool == "p"
@@ -67,11 +67,11 @@
 
 
 def test_customers_without_requests_are_removed():
-    demand = Demand()
+    demand = DemandTracker()
     for number in range(16_000):
-        demand.asked("k", f"c{number}", PIECES, number * 0.01)
-    demand.work_out({}, 160.0)
-    assert demand.rows() <= 1_002
-    demand.work_out({}, 300.0)
-    assert demand.rows() == 0
+        demand.requested("k", f"c{number}", PIECES, number * 0.01)
+    demand.update_shares({}, 160.0)
+    assert demand.customer_count() <= 1_002
+    demand.update_shares({}, 300.0)
+    assert demand.customer_count() == 0
     assert demand.part("k").part == 1.0
--- a/tests/admission/test_patience.py
+++ b/tests/admission/test_patience.py
@@ -1,6 +1,6 @@
 """Shared pools follow from the latency goals and batch profiles of the configuration."""
 
-from traystall.admission.patience import shared_pools, slack, tight_pools, uneven_pools
+from traystall.admission.pool_sharing import shared_pools, slack, tight_pools, uneven_pools
 from traystall.routes.models import BatchProfile, Pool, Route, Split, StagePlan
 
 # A full call takes 0.4 s.
--- a/tests/passthrough/test_crowding.py
+++ b/tests/passthrough/test_crowding.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from traystall.passthrough.admission.book import AdmissionBook, Arrival
+from traystall.passthrough.admission.controller import AdmissionController, AdmissionRequest
 from traystall.passthrough.admission.forecast import PoolLoad
 from traystall.routes.models import Route, Split, StagePlan
 
@@ -15,7 +15,7 @@
 
 def arrival(name, route, customer="c"):
     slack = SLACKS[route.name]
-    return Arrival(name, route, (1, 1), 1, slack, 6.0, name, customer=customer)
+    return AdmissionRequest(name, route, (1, 1), 1, slack, 6.0, name, customer=customer)
 
 
 def loads(due_at, pieces, rate=100.0):
@@ -32,13 +32,13 @@
 
 
 def test_impatient_request_goes_before_work_with_a_later_deadline():
-    book = AdmissionBook()
+    book = AdmissionController()
     assert admit(book, "a", QUICK, 10.0, pieces=150, due_at=12.0).admitted
     assert not admit(book, "b", QUICK, 10.0, pieces=150, due_at=10.1).admitted
 
 
 def test_long_queue_is_no_congestion_if_all_active_routes_are_patient():
-    book = AdmissionBook()
+    book = AdmissionController()
     verdicts = [
         admit(book, f"r{n}", PATIENT, 10.0 + n * 0.02, pieces=60, due_at=11.0) for n in range(50)
     ]
@@ -46,7 +46,7 @@
 
 
 def test_same_queue_is_congestion_while_an_impatient_route_is_active():
-    book = AdmissionBook()
+    book = AdmissionController()
     verdicts = []
     for n in range(200):
         now = 10.0 + n * 0.01
@@ -58,22 +58,22 @@
 
 
 def test_refusal_reports_the_wait_until_admission_is_possible():
-    verdict = admit(AdmissionBook(), "a", QUICK, 10.0, pieces=500, due_at=10.0)
+    verdict = admit(AdmissionController(), "a", QUICK, 10.0, pieces=500, due_at=10.0)
     assert not verdict.admitted
-    assert verdict.seconds_to_turn > 1.0
+    assert verdict.seconds_to_admission > 1.0
     assert verdict.retry_after > 0.0
 
 
 @pytest.mark.parametrize("later", [0.0, 2.5, 60.0])
 def test_much_later_retry_gets_a_decision(later):
     """The last update of a pool may be older than the time for which its routes are remembered."""
-    book = AdmissionBook()
+    book = AdmissionController()
     admit(book, "a", QUICK, 10.0, pieces=500, due_at=10.0)
     assert not admit(book, "a", QUICK, 10.0 + later, pieces=500, due_at=10.0).admitted
 
 
 def test_demand_is_not_counted_without_shared_pools():
-    book = AdmissionBook()
+    book = AdmissionController()
     book.admit(arrival("a", QUICK), loads(0.0, 0), 10.0)
-    assert book.demand.rows() == 0
+    assert book.demand.customer_count() == 0
     assert book.waits(10.0) == {}
--- a/tests/passthrough/test_handover.py
+++ b/tests/passthrough/test_handover.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from traystall.passthrough.admission.book import AdmissionBook, Arrival
+from traystall.passthrough.admission.controller import AdmissionController, AdmissionRequest
 from traystall.passthrough.admission.forecast import PoolLoad
 from traystall.passthrough.admission.handover import Handover
 from traystall.routes.models import Route, Split, StagePlan
@@ -58,23 +58,23 @@
 def test_report_on_a_pool_without_targets_is_accepted():
     """The wait of such a pool is infinite, which must not fail requests at the next batcher."""
     no_targets = {pool: PoolLoad(lambda priority, due: 3, 0.0, 0.2) for pool in "pq"}
-    before, after = AdmissionBook(), AdmissionBook()
+    before, after = AdmissionController(), AdmissionController()
     assert not before.admit(arrival("a"), no_targets, 10.0, SHARED).admitted
-    after.take_over(before.waits(10.1), 0.1, 10.2)
+    after.merge_peer_waits(before.waits(10.1), 0.1, 10.2)
     assert after.admit(arrival("b"), loads(), 10.3, SHARED).admitted
 
 
 def arrival(name, made=frozenset()):
-    return Arrival(name, ROUTE, (1, 8), 1, 0.3, 6.0, name, made=made)
+    return AdmissionRequest(name, ROUTE, (1, 8), 1, 0.3, 6.0, name, made=made)
 
 
 def test_request_admitted_elsewhere_goes_on_and_a_new_one_is_refused():
-    book = AdmissionBook()
-    book.take_over({"q": 5.0}, 0.1, 10.0)
+    book = AdmissionController()
+    book.merge_peer_waits({"q": 5.0}, 0.1, 10.0)
     assert not book.admit(arrival("new"), loads(), 10.1, SHARED).admitted
     begun = arrival("begun", made=frozenset({0}))
     assert book.admit(begun, loads(), 10.1, SHARED).admitted
-    assert book.to_come("p", 1) == 0
-    assert book.to_come("q", 1) == 8
+    assert book.expected_pieces("p", 1) == 0
+    assert book.expected_pieces("q", 1) == 8
     book.made("begun", 1, 0.4, 10.5)
-    assert book.to_come("q", 1) == 0
+    assert book.expected_pieces("q", 1) == 0
--- a/tests/passthrough/test_shared_pools.py
+++ b/tests/passthrough/test_shared_pools.py
@@ -55,7 +55,7 @@
         statuses = await send_requests(site, (0, 1, 2), 36)
         assert set(statuses) <= {200, 503}
         assert 200 in statuses
-        told = [context.batcher.waits_told() for context in contexts(site)]
+        told = [context.batcher.latest_queue_waits() for context in contexts(site)]
         assert sum(bool(waits) for waits in told) >= 2, (
             "gateways that do not batch received the waits"
         )
@@ -70,7 +70,7 @@
         await start(site, entities())
         assert not any(context.shared_pools() for context in contexts(site))
         assert set(await send_requests(site, (0, 1), 12)) == {200}
-        assert not any(context.batcher.waits_told() for context in contexts(site))
+        assert not any(context.batcher.latest_queue_waits() for context in contexts(site))
 
     play(tmp_path, scenario)
 
--- a/traystall/admission/demand.py
+++ b/traystall/admission/demand.py
@@ -43,11 +43,11 @@
 class _CustomerDemand(msgspec.Struct):
     """Hold the request rate of one customer on one route, and the customer's credit."""
 
-    asked: DecayingRate = msgspec.field(default_factory=DecayingRate)
+    requested: DecayingRate = msgspec.field(default_factory=DecayingRate)
     credit: float = 1.0
 
 
-class Demand:
+class DemandTracker:
     """Track the demand at one gateway that batches, and the shares that follow from it."""
 
     def __init__(self):
@@ -59,27 +59,27 @@
         self._customer_shares: dict[str, dict[str, float]] = {}
         self._updated_at = float("-inf")
 
-    def asked(self, kind: str, customer: str, pieces: Mapping[str, int], now: float) -> None:
+    def requested(self, kind: str, customer: str, pieces: Mapping[str, int], now: float) -> None:
         """Count a request that asks for admission; each retry of a caller counts as well."""
         pools = self._pieces.setdefault(kind, {})
         for pool, count in pieces.items():
             pools.setdefault(pool, DecayingRate()).add(count, now)
         row = self._customers.setdefault(kind, {}).setdefault(customer, _CustomerDemand())
-        row.asked.add(1.0, now)
+        row.requested.add(1.0, now)
         part = self._customer_shares.get(kind, {}).get(customer, 1.0)
         row.credit = min(_MAX_CREDIT_REQUESTS, row.credit + part)
 
-    def work_out(self, rates: Mapping[str, float], now: float) -> None:
+    def update_shares(self, rates: Mapping[str, float], now: float) -> None:
         """Update the shares from the rates of congested pools, in pieces per second, if due."""
         if now - self._updated_at < _UPDATE_INTERVAL_SECONDS:
             return
         self._updated_at = now
         self._expire(now)
-        asked = {
+        requested = {
             kind: {pool: rate.at_time(now) for pool, rate in pools.items()}
             for kind, pools in self._pieces.items()
         }
-        self._route_shares = route_shares(asked, rates)
+        self._route_shares = route_shares(requested, rates)
         self._customer_shares = {
             kind: self._shares_of_customers(kind, part, now)
             for kind, part in self._route_shares.items()
@@ -93,31 +93,33 @@
         """Return the share of a customer's demand on a route that is served now."""
         return self._customer_shares.get(kind, {}).get(customer, self.part(kind).part)
 
-    def may_begin(self, kind: str, customer: str) -> bool:
+    def may_start(self, kind: str, customer: str) -> bool:
         """Return whether a customer has credit for a request, or no pool limits the route."""
         row = self._customers.get(kind, {}).get(customer)
         return not self.part(kind).pool or row is None or row.credit >= 1.0
 
-    def begins(self, kind: str, customer: str) -> None:
+    def record_start(self, kind: str, customer: str) -> None:
         """Spend the credit of an admitted request."""
         row = self._customers.get(kind, {}).get(customer)
         if row is not None:
             row.credit = max(0.0, row.credit - 1.0)
 
-    def rows(self) -> int:
+    def customer_count(self) -> int:
         """Return the number of tracked customers, counted once for each route."""
         return sum(len(customers) for customers in self._customers.values())
 
     def _shares_of_customers(self, kind, part, now):
         if not part.pool:
             return {}
-        asked = {name: row.asked.at_time(now) for name, row in self._customers[kind].items()}
-        return customer_shares(asked, part.part * sum(asked.values()))
+        requested = {
+            name: row.requested.at_time(now) for name, row in self._customers[kind].items()
+        }
+        return customer_shares(requested, part.part * sum(requested.values()))
 
     def _expire(self, now):
         for kind, customers in list(self._customers.items()):
             for customer, row in list(customers.items()):
-                if now - row.asked.at > _CUSTOMER_TTL_SECONDS:
+                if now - row.requested.at > _CUSTOMER_TTL_SECONDS:
                     del customers[customer]
             if not customers:
                 del self._customers[kind]
--- a/traystall/admission/shares.py
+++ b/traystall/admission/shares.py
@@ -25,7 +25,7 @@
 
 
 def route_shares(
-    asked: Mapping[str, Mapping[str, float]], rates: Mapping[str, float]
+    requested: Mapping[str, Mapping[str, float]], rates: Mapping[str, float]
 ) -> dict[str, RouteShare]:
     """Return the share of each route's demand that the pools can serve.
 
@@ -36,28 +36,28 @@
     """
     found: dict[str, RouteShare] = {}
     left = dict(rates)
-    undecided = {kind for kind in asked if any(asked[kind].values())}
+    undecided = {kind for kind in requested if any(requested[kind].values())}
     while undecided:
-        ratio, pool = _bottleneck(asked, left, undecided)
+        ratio, pool = _bottleneck(requested, left, undecided)
         if ratio >= _WHOLE_RATIO:
             break
-        for kind in [kind for kind in undecided if asked[kind].get(pool, 0.0) > 0.0]:
+        for kind in [kind for kind in undecided if requested[kind].get(pool, 0.0) > 0.0]:
             found[kind] = RouteShare(ratio, pool)
             undecided.discard(kind)
-            for name, rate in asked[kind].items():
+            for name, rate in requested[kind].items():
                 if name in left:
                     left[name] = max(0.0, left[name] - ratio * rate)
-    return {kind: found.get(kind, RouteShare()) for kind in asked}
+    return {kind: found.get(kind, RouteShare()) for kind in requested}
 
 
-def customer_shares(asked: Mapping[str, float], rate: float) -> dict[str, float]:
+def customer_shares(requested: Mapping[str, float], rate: float) -> dict[str, float]:
     """Return the served share of each customer's demand; `rate` is their total capacity.
 
     A customer with little demand gets all of it, and the others divide the rest equally.
     """
-    left, count = max(0.0, rate), len(asked)
+    left, count = max(0.0, rate), len(requested)
     shares: dict[str, float] = {}
-    for customer, wanted in sorted(asked.items(), key=lambda item: (item[1], item[0])):
+    for customer, wanted in sorted(requested.items(), key=lambda item: (item[1], item[0])):
         granted = min(wanted, left / count)
         shares[customer] = granted / wanted if wanted > 0.0 else 1.0
         left -= granted
@@ -65,11 +65,11 @@
     return shares
 
 
-def _bottleneck(asked, left, undecided) -> tuple[float, str]:
+def _bottleneck(requested, left, undecided) -> tuple[float, str]:
     """Return the smallest ratio of the demand that any pool can serve, and the pool's name."""
     lowest, found = 1.0, ""
     for pool in sorted(left):
-        wanted = sum(asked[kind].get(pool, 0.0) for kind in undecided)
+        wanted = sum(requested[kind].get(pool, 0.0) for kind in undecided)
         if wanted > 0.0 and left[pool] / wanted < lowest:
             lowest, found = left[pool] / wanted, pool
     return lowest, found
--- a/traystall/passthrough/admission/budget.py
+++ b/traystall/passthrough/admission/budget.py
@@ -14,7 +14,7 @@
 _USED_RATIO = 0.7
 
 
-class BudgetRule(msgspec.Struct, frozen=True):
+class RepeatBudgetRule(msgspec.Struct, frozen=True):
     """Allow `ratio` x requests + `slack` repeats of a pool in any `window` seconds."""
 
     ratio: float = 0.2
@@ -25,7 +25,7 @@
 class RepeatBudget:
     """Count the requests and the repeated attempts of one pool at one gateway."""
 
-    def __init__(self, rule: BudgetRule):
+    def __init__(self, rule: RepeatBudgetRule):
         self._rule = rule
         self._requests: deque[float] = deque()
         self._repeats: deque[float] = deque()
@@ -35,7 +35,7 @@
         self._requests.append(now)
         self._expire(now)
 
-    def take(self, now: float, gateways: int, count: int = 1) -> bool:
+    def try_consume(self, now: float, gateways: int, count: int = 1) -> bool:
         """Count `count` repeats if the budget allows all of them; return whether it does."""
         self._expire(now)
         if len(self._repeats) + count > self.allowance(gateways):
--- a/traystall/passthrough/admission/book.py
+++ b/traystall/passthrough/admission/controller.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from traystall.admission.demand import Demand
+from traystall.admission.demand import DemandTracker
 from traystall.passthrough.admission.calibration import ForecastCorrection
 from traystall.passthrough.admission.crowding import CongestionMonitor
 from traystall.passthrough.admission.forecast import (
@@ -64,7 +64,7 @@
 _EXPIRY_INTERVAL_SECONDS = 0.2
 
 
-class Arrival(msgspec.Struct, frozen=True):
+class AdmissionRequest(msgspec.Struct, frozen=True):
     """Describe a request that asks for admission.
 
     `slack` is how long the request may wait and still finish in time, `seconds_left` the time
@@ -97,7 +97,7 @@
         return pieces
 
 
-class Verdict(msgspec.Struct, frozen=True):
+class AdmissionDecision(msgspec.Struct, frozen=True):
     """Hold an admission decision; `retry_after` is set for a refusal, in seconds."""
 
     admitted: bool
@@ -110,14 +110,14 @@
     binding: str = ""
     # How long the request must wait before its admission is possible, and whether its pools are
     # divided into capacity shares. The wait is known only for such pools.
-    seconds_to_turn: float = 0.0
+    seconds_to_admission: float = 0.0
     shared: bool = False
 
 
 class _ActiveRequest(msgspec.Struct):
     """Hold an admitted request, the time of its admission and the wait forecast for it."""
 
-    arrival: Arrival
+    arrival: AdmissionRequest
     since: float
     wait: float
     # By stage, the pieces that the timeline of its pool expects from the request.
@@ -125,7 +125,7 @@
     done: set[int] = msgspec.field(default_factory=set)
 
 
-class AdmissionBook:
+class AdmissionController:
     """Admit or refuse requests, and keep track of the admitted ones until they end."""
 
     def __init__(self):
@@ -139,31 +139,31 @@
         self._expired_at = float("-inf")
         # By route, the correction that is added to its forecasts.
         self._corrections: dict[str, ForecastCorrection] = {}
-        self.demand = Demand()
+        self.demand = DemandTracker()
         self._congestion = CongestionMonitor(self.demand, self._forecast)
         self._handover = Handover()
 
     def admit(
         self,
-        arrival: Arrival,
+        arrival: AdmissionRequest,
         loads: dict[str, PoolLoad],
         now: float,
         shared_pools: frozenset[str] = frozenset(),
-    ) -> Verdict:
+    ) -> AdmissionDecision:
         """Admit or refuse a request by the `loads` of its pools; an active one is admitted again.
 
         At `shared_pools` the work with the earliest start deadline goes first, each route and
         customer gets a capacity share, and forecasts are corrected by the errors of the route.
         """
         if arrival.request_id in self._active:
-            return Verdict(True, 0.0)
+            return AdmissionDecision(True, 0.0)
         self._expire(now)
         self._decay_scale(now)
         if shared_pools.intersection(loads):
             return self._admit_by_share(arrival, loads, now, shared_pools)
         return self._admit_by_aim(arrival, loads, now)
 
-    def _admit_by_aim(self, arrival, loads, now) -> Verdict:
+    def _admit_by_aim(self, arrival, loads, now) -> AdmissionDecision:
         """Admit a request whose forecast wait is within a ratio of its latency goal."""
         stages, priority = arrival.route.stages, arrival.priority
         raw_wait = request_wait(stages, arrival.counts, priority, loads, self._forecast, now)
@@ -171,16 +171,16 @@
         came_back = arrival.mark in self._refused
         limit = _max_wait(arrival) * (_RETURNING_WAIT_RATIO if came_back else 1.0)
         if wait > limit:
-            return Verdict(False, wait, _retry_after(arrival, wait), came_back)
+            return AdmissionDecision(False, wait, _retry_after(arrival, wait), came_back)
         self._activate(arrival, raw_wait, loads, now)
-        return Verdict(True, wait)
+        return AdmissionDecision(True, wait)
 
-    def _admit_by_share(self, arrival, loads, now, shared_pools) -> Verdict:
+    def _admit_by_share(self, arrival, loads, now, shared_pools) -> AdmissionDecision:
         """Admit a request that can finish in time if its customer's share allows it."""
         if arrival.has_begun:
             # Another gateway admitted the request; a refusal would lose the results it holds.
             self._activate(arrival, 0.0, loads, now, arrival.slack)
-            return Verdict(True, 0.0, shared=True)
+            return AdmissionDecision(True, 0.0, shared=True)
         loads = self._handover.add_to(loads, now)
         route, slack = arrival.route, arrival.slack
         correction = self._correction(route.name).for_slack(slack, now)
@@ -192,11 +192,11 @@
         excess = wait - max(slack, _MIN_SHARED_WAIT_SECONDS)
         kind, customer = route.name, arrival.customer
         part, binding = self.demand.customer_share(kind, customer), self.demand.part(kind).pool
-        if excess <= 0.0 and self.demand.may_begin(kind, customer):
-            self.demand.begins(kind, customer)
+        if excess <= 0.0 and self.demand.may_start(kind, customer):
+            self.demand.record_start(kind, customer)
             self._activate(arrival, raw_wait, loads, now, slack)
-            return Verdict(True, wait, part=part, binding=binding, shared=True)
-        return Verdict(
+            return AdmissionDecision(True, wait, part=part, binding=binding, shared=True)
+        return AdmissionDecision(
             False,
             wait,
             _retry_after(arrival, wait),
@@ -205,11 +205,11 @@
             binding,
             # The queue drains slowly while new requests arrive. A request that only its share
             # refuses gets no time: a new request earns credit, waiting does not.
-            seconds_to_turn=excess * _DRAIN_FACTOR if excess > 0.0 else math.inf,
+            seconds_to_admission=excess * _DRAIN_FACTOR if excess > 0.0 else math.inf,
             shared=True,
         )
 
-    def take_over(self, waits: dict[str, float], age: float, now: float) -> None:
+    def merge_peer_waits(self, waits: dict[str, float], age: float, now: float) -> None:
         """Use the queue waits that a peer received `age` seconds ago from the previous batcher."""
         self._handover.add_waits(waits, age, now)
 
@@ -217,11 +217,11 @@
         """Return the queue wait of each shared pool, in seconds."""
         return self._congestion.waits(now)
 
-    def refuse(self, mark: str, now: float) -> None:
+    def record_refusal(self, mark: str, now: float) -> None:
         """Record the final refusal of a request, so that a retry is recognised as returning."""
         self._refused[mark] = now
 
-    def asked(self, request_id: str, stage: int) -> None:
+    def requested(self, request_id: str, stage: int) -> None:
         """Record that the pieces of a stage were requested: the queue of their pool has them."""
         active = self._active.get(request_id)
         if active is not None:
@@ -253,7 +253,7 @@
             for stage in list(active.expected):
                 self._remove_expected(active, stage)
 
-    def to_come(self, pool: str, priority: int) -> int:
+    def expected_pieces(self, pool: str, priority: int) -> int:
         """Return how many pieces the admitted requests have still to send to a pool."""
         return self._forecast(pool).timeline.total(priority)
 
--- a/traystall/passthrough/admission/crowding.py
+++ b/traystall/passthrough/admission/crowding.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from traystall.admission.demand import Demand
+from traystall.admission.demand import DemandTracker
 from traystall.passthrough.admission.forecast import PoolForecast, PoolLoad, stage_times
 
 # A pool counts as congested from this ratio of the shortest patience on. Capacity shares should
@@ -44,7 +44,7 @@
 class CongestionMonitor:
     """Track the queues of the pools that are divided into capacity shares."""
 
-    def __init__(self, demand: Demand, forecast: Callable[[str], PoolForecast]):
+    def __init__(self, demand: DemandTracker, forecast: Callable[[str], PoolForecast]):
         self._demand = demand
         self._forecast = forecast
         # By pool and route.
@@ -71,7 +71,7 @@
         kind = arrival.route.name
         if arrival.request_id not in self._requests:
             self._requests[arrival.request_id] = now
-            self._demand.asked(kind, arrival.customer, arrival.demand(), now)
+            self._demand.requested(kind, arrival.customer, arrival.demand(), now)
             self._record_patience(arrival, patience, shared, now)
         stages, counts = arrival.route.stages, arrival.counts
 
@@ -79,12 +79,12 @@
             return loads[pool].call_seconds
 
         times = stage_times(stages, counts, seconds, lambda pool, at: 0.0, now)
-        for stage, count, (asked, _) in zip(stages, counts, times, strict=True):
+        for stage, count, (requested, _) in zip(stages, counts, times, strict=True):
             if count and stage.pool in shared:
                 self._update_pool(
-                    stage.pool, arrival.priority, patience, loads[stage.pool], now, asked
+                    stage.pool, arrival.priority, patience, loads[stage.pool], now, requested
                 )
-        self._demand.work_out(self._rates, now)
+        self._demand.update_shares(self._rates, now)
 
     def waits(self, now: float) -> dict[str, float]:
         """Return the queue waits of the pools with recent requests, in seconds."""
