--- a/tests/passthrough/test_admission.py
+++ b/tests/passthrough/test_admission.py
@@ -15,7 +15,7 @@
 RATES = {"p": 40.0, "q": 80.0}
 
 
-def arrival(name, slack=0.5, priority=1, counts=(1, 8), mark=None):
+def admission_request(name, slack=0.5, priority=1, counts=(1, 8), mark=None):
     return AdmissionRequest(name, ROUTE, counts, priority, slack, 6.0, mark or name)
 
 
@@ -30,12 +30,14 @@
 
 
 def test_idle_system_admits_a_request():
-    assert admit(AdmissionController(), arrival("a"), empty_queue, RATES, 0.0).admitted
+    assert admit(AdmissionController(), admission_request("a"), empty_queue, RATES, 0.0).admitted
 
 
 def test_expected_pieces_of_admitted_requests_count():
     book = AdmissionController()
-    admitted = [admit(book, arrival(str(i)), empty_queue, RATES, 0.0).admitted for i in range(20)]
+    admitted = [
+        admit(book, admission_request(str(i)), empty_queue, RATES, 0.0).admitted for i in range(20)
+    ]
     assert admitted[0] and not admitted[-1]
     assert book.expected_pieces("q", 1) == 8 * sum(admitted)
     assert book.expected_pieces("q", 0) == 0, "less urgent pieces do not count for urgent work"
@@ -43,7 +45,7 @@
 
 def test_refusal_has_a_retry_delay():
     verdict = admit(
-        AdmissionController(), arrival("a"), lambda pool, priority, due: 400, RATES, 0.0
+        AdmissionController(), admission_request("a"), lambda pool, priority, due: 400, RATES, 0.0
     )
     assert not verdict.admitted
     assert 0.2 <= verdict.retry_after <= 2.0
@@ -51,8 +53,10 @@
 
 def test_admitted_request_is_never_refused():
     book = AdmissionController()
-    assert admit(book, arrival("a"), empty_queue, RATES, 0.0).admitted
-    assert admit(book, arrival("a"), lambda pool, priority, due: 10**6, RATES, 1.0).admitted
+    assert admit(book, admission_request("a"), empty_queue, RATES, 0.0).admitted
+    assert admit(
+        book, admission_request("a"), lambda pool, priority, due: 10**6, RATES, 1.0
+    ).admitted
 
 
 def test_returning_request_waits_for_ample_capacity():
@@ -61,29 +65,33 @@
 
     book = AdmissionController()
     pieces = 20
-    assert not admit(book, arrival("a", mark="m"), waiting, RATES, 0.0).admitted
+    assert not admit(book, admission_request("a", mark="m"), waiting, RATES, 0.0).admitted
     book.record_refusal("m", 0.0)
-    again = admit(book, arrival("b", mark="m"), waiting, RATES, 1.0)
+    again = admit(book, admission_request("b", mark="m"), waiting, RATES, 1.0)
     assert not again.admitted and again.came_back
     assert book.expected_pieces("q", 1) == 0, "a waiting request holds no resource"
     pieces = 9
-    assert not admit(book, arrival("b", mark="m"), waiting, RATES, 1.1).admitted
-    assert admit(book, arrival("c", mark="n"), waiting, RATES, 1.1).admitted
+    assert not admit(book, admission_request("b", mark="m"), waiting, RATES, 1.1).admitted
+    assert admit(book, admission_request("c", mark="n"), waiting, RATES, 1.1).admitted
     pieces = 0
-    assert admit(book, arrival("b", mark="m"), waiting, {"p": 400.0, "q": 800.0}, 1.2).admitted
+    assert admit(
+        book, admission_request("b", mark="m"), waiting, {"p": 400.0, "q": 800.0}, 1.2
+    ).admitted
 
 
 def test_long_prompt_without_slack_is_admitted_while_others_are():
     def waiting(pool, priority, due):
         return 6 if pool == "p" else 0
 
-    assert admit(AdmissionController(), arrival("a", slack=-0.4), waiting, RATES, 0.0).admitted
+    assert admit(
+        AdmissionController(), admission_request("a", slack=-0.4), waiting, RATES, 0.0
+    ).admitted
 
 
 def test_finished_ended_and_expired_requests_no_longer_count():
     book = AdmissionController()
     for name in "abc":
-        admit(book, arrival(name), empty_queue, RATES, 0.0)
+        admit(book, admission_request(name), empty_queue, RATES, 0.0)
     book.requested("a", 0)
     assert book.expected_pieces("p", 1) == 2
     book.requested("a", 1)
@@ -91,7 +99,7 @@
     book.made("a", 1, 0.5, 1.2)
     book.ended("b")
     assert book.expected_pieces("q", 1) == 8
-    admit(book, arrival("d"), empty_queue, RATES, 100.0)
+    admit(book, admission_request("d"), empty_queue, RATES, 100.0)
     assert book.expected_pieces("q", 1) == 8, "only the newest request remains"
 
 
@@ -100,7 +108,9 @@
     book = AdmissionController()
     for i in range(60):
         began = i * 0.1
-        verdict = admit(book, arrival(str(i)), lambda pool, priority, due: 8, RATES, began)
+        verdict = admit(
+            book, admission_request(str(i)), lambda pool, priority, due: 8, RATES, began
+        )
         if not verdict.admitted:
             break
         for stage in (0, 1):
@@ -111,9 +121,9 @@
 def test_scale_decays():
     """Without the decay, a scale that admits no request gets no sample that corrects it."""
     book = AdmissionController()
-    admit(book, arrival("a"), empty_queue, RATES, 0.0)
+    admit(book, admission_request("a"), empty_queue, RATES, 0.0)
     book.scale = 2.0
-    admit(book, arrival("b"), empty_queue, RATES, 12.0)
+    admit(book, admission_request("b"), empty_queue, RATES, 12.0)
     assert book.scale < 0.8
 
 
--- a/tests/passthrough/test_crowding.py
+++ b/tests/passthrough/test_crowding.py
@@ -13,7 +13,7 @@
 SLACKS = {"patient": 2.0, "quick": 0.4}
 
 
-def arrival(name, route, customer="c"):
+def admission_request(name, route, customer="c"):
     slack = SLACKS[route.name]
     return AdmissionRequest(name, route, (1, 1), 1, slack, 6.0, name, customer=customer)
 
@@ -28,7 +28,7 @@
 
 
 def admit(book, name, route, now, pieces=0, due_at=0.0, customer="c"):
-    return book.admit(arrival(name, route, customer), loads(due_at, pieces), now, SHARED)
+    return book.admit(admission_request(name, route, customer), loads(due_at, pieces), now, SHARED)
 
 
 def test_impatient_request_goes_before_work_with_a_later_deadline():
@@ -74,6 +74,6 @@
 
 def test_demand_is_not_counted_without_shared_pools():
     book = AdmissionController()
-    book.admit(arrival("a", QUICK), loads(0.0, 0), 10.0)
+    book.admit(admission_request("a", QUICK), loads(0.0, 0), 10.0)
     assert book.demand.customer_count() == 0
     assert book.waits(10.0) == {}
--- a/tests/passthrough/test_forecast.py
+++ b/tests/passthrough/test_forecast.py
@@ -113,8 +113,10 @@
     now = 0.0
     for number, (pause, slack, priority, left) in enumerate(requests):
         now += pause
-        arrival = AdmissionRequest(f"r{number}", ROUTE, (1, 8), priority, slack, left, f"m{number}")
-        verdict = book.admit(arrival, loads, now)
+        admission_request = AdmissionRequest(
+            f"r{number}", ROUTE, (1, 8), priority, slack, left, f"m{number}"
+        )
+        verdict = book.admit(admission_request, loads, now)
         if verdict.admitted:
             assert verdict.wait <= max(0.25, slack)
         else:
--- a/tests/passthrough/test_handover.py
+++ b/tests/passthrough/test_handover.py
@@ -59,20 +59,20 @@
     """The wait of such a pool is infinite, which must not fail requests at the next batcher."""
     no_targets = {pool: PoolLoad(lambda priority, due: 3, 0.0, 0.2) for pool in "pq"}
     before, after = AdmissionController(), AdmissionController()
-    assert not before.admit(arrival("a"), no_targets, 10.0, SHARED).admitted
+    assert not before.admit(admission_request("a"), no_targets, 10.0, SHARED).admitted
     after.merge_peer_waits(before.waits(10.1), 0.1, 10.2)
-    assert after.admit(arrival("b"), loads(), 10.3, SHARED).admitted
+    assert after.admit(admission_request("b"), loads(), 10.3, SHARED).admitted
 
 
-def arrival(name, made=frozenset()):
+def admission_request(name, made=frozenset()):
     return AdmissionRequest(name, ROUTE, (1, 8), 1, 0.3, 6.0, name, made=made)
 
 
 def test_request_admitted_elsewhere_goes_on_and_a_new_one_is_refused():
     book = AdmissionController()
     book.merge_peer_waits({"q": 5.0}, 0.1, 10.0)
-    assert not book.admit(arrival("new"), loads(), 10.1, SHARED).admitted
-    begun = arrival("begun", made=frozenset({0}))
+    assert not book.admit(admission_request("new"), loads(), 10.1, SHARED).admitted
+    begun = admission_request("begun", made=frozenset({0}))
     assert book.admit(begun, loads(), 10.1, SHARED).admitted
     assert book.expected_pieces("p", 1) == 0
     assert book.expected_pieces("q", 1) == 8
--- a/traystall/passthrough/admission/controller.py
+++ b/traystall/passthrough/admission/controller.py
@@ -117,7 +117,7 @@
 class _ActiveRequest(msgspec.Struct):
     """Hold an admitted request, the time of its admission and the wait forecast for it."""
 
-    arrival: AdmissionRequest
+    request: AdmissionRequest
     since: float
     wait: float
     # By stage, the pieces that the timeline of its pool expects from the request.
@@ -145,7 +145,7 @@
 
     def admit(
         self,
-        arrival: AdmissionRequest,
+        request: AdmissionRequest,
         loads: dict[str, PoolLoad],
         now: float,
         shared_pools: frozenset[str] = frozenset(),
@@ -155,52 +155,52 @@
         At `shared_pools` the work with the earliest start deadline goes first, each route and
         customer gets a capacity share, and forecasts are corrected by the errors of the route.
         """
-        if arrival.request_id in self._active:
+        if request.request_id in self._active:
             return AdmissionDecision(True, 0.0)
         self._expire(now)
         self._decay_scale(now)
         if shared_pools.intersection(loads):
-            return self._admit_by_share(arrival, loads, now, shared_pools)
-        return self._admit_by_aim(arrival, loads, now)
+            return self._admit_by_share(request, loads, now, shared_pools)
+        return self._admit_by_aim(request, loads, now)
 
-    def _admit_by_aim(self, arrival, loads, now) -> AdmissionDecision:
+    def _admit_by_aim(self, request, loads, now) -> AdmissionDecision:
         """Admit a request whose forecast wait is within a ratio of its latency goal."""
-        stages, priority = arrival.route.stages, arrival.priority
-        raw_wait = request_wait(stages, arrival.counts, priority, loads, self._forecast, now)
+        stages, priority = request.route.stages, request.priority
+        raw_wait = request_wait(stages, request.counts, priority, loads, self._forecast, now)
         wait = raw_wait * self.scale
-        came_back = arrival.mark in self._refused
-        limit = _max_wait(arrival) * (_RETURNING_WAIT_RATIO if came_back else 1.0)
+        came_back = request.mark in self._refused
+        limit = _max_wait(request) * (_RETURNING_WAIT_RATIO if came_back else 1.0)
         if wait > limit:
-            return AdmissionDecision(False, wait, _retry_after(arrival, wait), came_back)
-        self._activate(arrival, raw_wait, loads, now)
+            return AdmissionDecision(False, wait, _retry_after(request, wait), came_back)
+        self._activate(request, raw_wait, loads, now)
         return AdmissionDecision(True, wait)
 
-    def _admit_by_share(self, arrival, loads, now, shared_pools) -> AdmissionDecision:
+    def _admit_by_share(self, request, loads, now, shared_pools) -> AdmissionDecision:
         """Admit a request that can finish in time if its customer's share allows it."""
-        if arrival.has_begun:
+        if request.has_begun:
             # Another gateway admitted the request; a refusal would lose the results it holds.
-            self._activate(arrival, 0.0, loads, now, arrival.slack)
+            self._activate(request, 0.0, loads, now, request.slack)
             return AdmissionDecision(True, 0.0, shared=True)
         loads = self._handover.add_to(loads, now)
-        route, slack = arrival.route, arrival.slack
+        route, slack = request.route, request.slack
         correction = self._correction(route.name).for_slack(slack, now)
-        self._congestion.observe(arrival, slack - correction, loads, shared_pools, now)
+        self._congestion.observe(request, slack - correction, loads, shared_pools, now)
         raw_wait = request_wait(
-            route.stages, arrival.counts, arrival.priority, loads, self._forecast, now, slack
+            route.stages, request.counts, request.priority, loads, self._forecast, now, slack
         )
         wait = raw_wait + correction
         excess = wait - max(slack, _MIN_SHARED_WAIT_SECONDS)
-        kind, customer = route.name, arrival.customer
+        kind, customer = route.name, request.customer
         part, binding = self.demand.customer_share(kind, customer), self.demand.part(kind).pool
         if excess <= 0.0 and self.demand.may_start(kind, customer):
             self.demand.record_start(kind, customer)
-            self._activate(arrival, raw_wait, loads, now, slack)
+            self._activate(request, raw_wait, loads, now, slack)
             return AdmissionDecision(True, wait, part=part, binding=binding, shared=True)
         return AdmissionDecision(
             False,
             wait,
-            _retry_after(arrival, wait),
-            arrival.mark in self._refused,
+            _retry_after(request, wait),
+            request.mark in self._refused,
             part,
             binding,
             # The queue drains slowly while new requests arrive. A request that only its share
@@ -236,11 +236,11 @@
         if active is None:
             return
         active.done.add(stage)
-        if active.arrival.demand(frozenset(active.done)):
+        if active.request.demand(frozenset(active.done)):
             return
         self.ended(request_id)
         waited = now - active.since - usual_seconds
-        self._correction(active.arrival.route.name).learn(waited - active.wait, now)
+        self._correction(active.request.route.name).learn(waited - active.wait, now)
         if active.wait > _MIN_SAMPLE_WAIT_SECONDS:
             found = max(0.0, waited) / active.wait
             self.scale += _SCALE_SAMPLE_WEIGHT * (found - self.scale)
@@ -257,33 +257,33 @@
         """Return how many pieces the admitted requests have still to send to a pool."""
         return self._forecast(pool).timeline.total(priority)
 
-    def _activate(self, arrival, wait, loads, now, patience=0.0):
+    def _activate(self, request, wait, loads, now, patience=0.0):
         """Record the pieces a request is going to send: their pool, time and longest wait."""
-        active = self._active[arrival.request_id] = _ActiveRequest(arrival, now, wait)
-        active.done.update(arrival.made)
-        stages = arrival.route.stages
+        active = self._active[request.request_id] = _ActiveRequest(request, now, wait)
+        active.done.update(request.made)
+        stages = request.route.stages
         times = stage_times(
             stages,
-            arrival.counts,
+            request.counts,
             lambda pool: loads[pool].call_seconds,
             lambda pool, at: 0.0,
             now,
         )
-        for index, count in enumerate(arrival.counts):
-            if count and index not in arrival.made:
+        for index, count in enumerate(request.counts):
+            if count and index not in request.made:
                 forecast = self._forecast(stages[index].pool)
                 expected = forecast.timeline.expect(
-                    arrival.priority, times[index][0], count, patience
+                    request.priority, times[index][0], count, patience
                 )
                 active.expected[index] = expected
-        for pool, count in arrival.demand(arrival.made).items():
-            self._forecast(pool).arrivals.record(arrival.priority, count, now)
+        for pool, count in request.demand(request.made).items():
+            self._forecast(pool).arrivals.record(request.priority, count, now)
 
     def _remove_expected(self, active, stage):
         """Remove the pieces of a stage from the timeline of its pool."""
         expected = active.expected.pop(stage, None)
         if expected is not None:
-            pool = active.arrival.route.stages[stage].pool
+            pool = active.request.route.stages[stage].pool
             self._forecast(pool).timeline.remove(expected)
 
     def _correction(self, kind) -> ForecastCorrection:
@@ -314,14 +314,14 @@
                 del self._refused[mark]
 
 
-def _max_wait(arrival):
+def _max_wait(request):
     """Return the longest forecast wait with which a request is admitted."""
-    aim = arrival.route.aim
-    return max(aim * _MIN_WAIT_RATIO, arrival.slack - aim * _SAFETY_MARGIN_RATIO)
+    aim = request.route.aim
+    return max(aim * _MIN_WAIT_RATIO, request.slack - aim * _SAFETY_MARGIN_RATIO)
 
 
-def _retry_after(arrival, wait):
+def _retry_after(request, wait):
     delay = max(
-        (wait - _max_wait(arrival)) * _DRAIN_FACTOR, arrival.route.aim * _MIN_RETRY_AIM_RATIO
+        (wait - _max_wait(request)) * _DRAIN_FACTOR, request.route.aim * _MIN_RETRY_AIM_RATIO
     )
-    return max(_MIN_RETRY_SECONDS, min(delay, arrival.seconds_left * _MAX_RETRY_RATIO))
+    return max(_MIN_RETRY_SECONDS, min(delay, request.seconds_left * _MAX_RETRY_RATIO))
--- a/traystall/passthrough/admission/crowding.py
+++ b/traystall/passthrough/admission/crowding.py
@@ -58,7 +58,7 @@
 
     def observe(
         self,
-        arrival,
+        request,
         patience: float,
         loads: dict[str, PoolLoad],
         shared: frozenset[str],
@@ -68,12 +68,12 @@
 
         `patience` is how long the request may wait according to its forecast, in seconds.
         """
-        kind = arrival.route.name
-        if arrival.request_id not in self._requests:
-            self._requests[arrival.request_id] = now
-            self._demand.requested(kind, arrival.customer, arrival.demand(), now)
-            self._record_patience(arrival, patience, shared, now)
-        stages, counts = arrival.route.stages, arrival.counts
+        kind = request.route.name
+        if request.request_id not in self._requests:
+            self._requests[request.request_id] = now
+            self._demand.requested(kind, request.customer, request.demand(), now)
+            self._record_patience(request, patience, shared, now)
+        stages, counts = request.route.stages, request.counts
 
         def seconds(pool):
             return loads[pool].call_seconds
@@ -82,7 +82,7 @@
         for stage, count, (requested, _) in zip(stages, counts, times, strict=True):
             if count and stage.pool in shared:
                 self._update_pool(
-                    stage.pool, arrival.priority, patience, loads[stage.pool], now, requested
+                    stage.pool, request.priority, patience, loads[stage.pool], now, requested
                 )
         self._demand.update_shares(self._rates, now)
 
@@ -100,10 +100,10 @@
                 break
             del self._requests[request_id]
 
-    def _record_patience(self, arrival, patience, shared, now):
-        for pool in shared.intersection(arrival.demand()):
+    def _record_patience(self, request, patience, shared, now):
+        for pool in shared.intersection(request.demand()):
             routes = self._patience.setdefault(pool, {})
-            known = routes.setdefault(arrival.route.name, _MeanPatience(patience, now))
+            known = routes.setdefault(request.route.name, _MeanPatience(patience, now))
             known.seconds += _PATIENCE_SAMPLE_WEIGHT * (patience - known.seconds)
             known.at = now
 
--- a/traystall/passthrough/placement/service.py
+++ b/traystall/passthrough/placement/service.py
@@ -54,7 +54,7 @@
             tokens=passed.prompt.tokens,
             data_centre=passed.stages_data_centre,
             input_bytes=passed.input_bytes,
-            excluded=sorted(passed.tried | self._held_back(passed.pool)),
+            excluded=sorted(passed.tried | self._unavailable(passed.pool)),
             book=book,
             places=list(passed.places),
         )
@@ -73,7 +73,7 @@
         return self._place(request, as_coordinator=True)
 
     def _place(self, request, *, as_coordinator) -> PlaceReply:
-        """Place a prompt by local state; `for_all` if this gateway is the placer of the pool."""
+        """Place a prompt by local state; `as_coordinator` if it is the placer of the pool."""
         now = clock.monotonic()
         placer = self._placer(request.pool, now)
         placement = PlacementQuery(
@@ -139,7 +139,7 @@
         # alone to back off.
         return view if view.may_send_work(now) else None
 
-    def _held_back(self, pool) -> set[str]:
+    def _unavailable(self, pool) -> set[str]:
         return self._context.board.unavailable(pool, clock.monotonic())
 
     def _on_error(self, owner, error):
