--- a/traystall/passthrough/admission/controller.py
+++ b/traystall/passthrough/admission/controller.py
@@ -203,8 +203,8 @@
             request.mark in self._refused,
             part,
             binding,
-            # The queue drains slowly while new requests arrive. A request that only its share
-            # refuses gets no time: a new request earns credit, waiting does not.
+            # The queue drains slowly while new requests arrive. A request that is refused by its
+            # share alone has no finite time, because only new requests earn credit.
             seconds_to_admission=excess * _DRAIN_FACTOR if excess > 0.0 else math.inf,
             shared=True,
         )
--- a/traystall/passthrough/placement/service.py
+++ b/traystall/passthrough/placement/service.py
@@ -73,7 +73,7 @@
         return self._place(request, as_coordinator=True)
 
     def _place(self, request, *, as_coordinator) -> PlaceReply:
-        """Place a prompt by local state; `as_coordinator` if it is the placer of the pool."""
+        """Place a prompt by local state; `as_coordinator` is set at the placer of the pool."""
         now = clock.monotonic()
         placer = self._placer(request.pool, now)
         placement = PlacementQuery(
