--- a/tests/systems/test_limits.py
+++ b/tests/systems/test_limits.py
@@ -30,8 +30,8 @@
     ]
     positions = [limits.position_inside(customer, PLACES, *gateway) for gateway in running]
     assert len([p for p in positions if p < count]) == len({p for p in positions if p < count})
-    assert sum(limits.part_of(whole, p, count) for p in positions) <= whole + 1e-9
-    assert sum(limits.whole_part_of(whole, p, count) for p in positions) == whole
+    assert sum(limits.rate_share(whole, p, count) for p in positions) <= whole + 1e-9
+    assert sum(limits.concurrency_share(whole, p, count) for p in positions) == whole
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
--- a/tests/systems/test_permits.py
+++ b/tests/systems/test_permits.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from traystall.systems.permits import FIRST_PART, SECOND_PART, LentTarget
+from traystall.systems.permits import FIRST_PART, SECOND_PART, PermitSchedule
 
 SPAN_SECONDS = 4.0
 
@@ -25,7 +25,7 @@
     source = random.Random(seed)
     sent = []
     for part in (FIRST_PART, SECOND_PART):
-        lent, now = LentTarget(), 100.0
+        lent, now = PermitSchedule(), 100.0
         while now < 130.0:
             now += source.expovariate(limit * 8)
             patience = source.choice((0.0, 0.0, 0.5))
@@ -41,7 +41,7 @@
 @pytest.mark.parametrize("limit", [0.25, 1.0, 5.0, 20.0, 125.0])
 def test_twice_what_the_first_lender_lends_is_within_what_is_allowed(limit):
     """A target that counts the connection of a request too counted 12 where 7 were sent."""
-    lent, now, sent = LentTarget(), 0.0, []
+    lent, now, sent = PermitSchedule(), 0.0, []
     while now < 20.0:
         loan = lent.lend(limit * FIRST_PART, "g", 0.0, False, now)
         sent += [now] if loan.is_granted else []
@@ -50,7 +50,7 @@
 
 
 def test_most_of_it_is_used_where_somebody_waits():
-    lent = LentTarget()
+    lent = PermitSchedule()
     slots = [
         loan.wait for _ in range(30) if (loan := lent.lend(5.0, "g", 4.0, False, 0.0)).is_granted
     ]
@@ -58,7 +58,7 @@
 
 
 def test_who_does_not_fit_is_told_when_more_is_free():
-    lent = LentTarget()
+    lent = PermitSchedule()
     for _ in range(3):
         assert lent.lend(1.0, "g", 2.0, False, 10.0).is_granted
     loan = lent.lend(1.0, "g", 2.0, False, 10.0)
@@ -67,14 +67,14 @@
 
 
 def test_what_may_be_left_out_waits_until_nobody_wants_it():
-    lent = LentTarget()
+    lent = PermitSchedule()
     assert lent.lend(1.0, "g", 0.0, False, 10.0).is_granted
     assert not lent.lend(1.0, "g", 0.0, True, 11.0).is_granted
     assert lent.lend(1.0, "g", 0.0, True, 12.1).is_granted
 
 
 def test_permit_that_comes_back_is_lent_to_the_next():
-    lent = LentTarget()
+    lent = PermitSchedule()
     waits = [lent.lend(1.0, "g", 5.0, False, 10.0).wait for _ in range(3)]
     lent.give_back(10.0 + waits[1], 10.1)
     loan = lent.lend(1.0, "h", 1.0, False, 10.2)
@@ -83,21 +83,21 @@
 
 
 def test_permit_whose_moment_is_over_does_not_come_back():
-    lent = LentTarget()
+    lent = PermitSchedule()
     lent.lend(1.0, "g", 0.0, False, 10.0)
     lent.give_back(10.0, 10.5)
     assert not lent.lend(1.0, "g", 0.0, False, 10.6).is_granted
 
 
 def test_limit_that_rises_is_used_at_once_and_one_that_falls_is_kept_at_once():
-    lent = LentTarget()
+    lent = PermitSchedule()
     lent.lend(0.1, "g", 0.0, False, 10.0)
     assert lent.lend(50.0, "g", 0.0, False, 10.1).is_granted
     assert not lent.lend(0.5, "g", 0.0, False, 10.2).is_granted
 
 
 def test_many_who_ask_come_back_spread():
-    lent = LentTarget()
+    lent = PermitSchedule()
     loans = [lent.lend(1.0, f"g-{n}", 0.0, False, 10.0) for n in range(5)]
     assert [loan.is_granted for loan in loans] == [True] + [False] * 4
     assert loans[-1].spread == pytest.approx(2.0)
--- a/tests/systems/test_rests.py
+++ b/tests/systems/test_rests.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from traystall.systems.rests import LONGEST_REST_SECONDS, rest_seconds
+from traystall.systems.rests import MAX_BACKOFF_SECONDS, rest_seconds
 
 DATE = "Tue, 08 Jul 2026 10:00:00 GMT"
 
@@ -22,9 +22,9 @@
         (["-3"], 0.0),
         (["nan"], 0.0),
         (["-inf"], 0.0),
-        (["inf"], LONGEST_REST_SECONDS),
-        (["1e9"], LONGEST_REST_SECONDS),
-        (["1e999"], LONGEST_REST_SECONDS),
+        (["inf"], MAX_BACKOFF_SECONDS),
+        (["1e9"], MAX_BACKOFF_SECONDS),
+        (["1e999"], MAX_BACKOFF_SECONDS),
         (["soon"], 0.0),
         ([""], 0.0),
         (["1_0"], 0.0),
@@ -43,7 +43,7 @@
 def test_date_counts_from_the_date_of_the_answer():
     assert rest_seconds(["Tue, 08 Jul 2026 10:00:07 GMT"], DATE) == 7.0
     assert rest_seconds(["Tue, 08 Jul 2026 09:00:00 GMT"], DATE) == 0.0
-    assert rest_seconds(["Tue, 08 Jul 2036 09:00:00 GMT"], DATE) == LONGEST_REST_SECONDS
+    assert rest_seconds(["Tue, 08 Jul 2036 09:00:00 GMT"], DATE) == MAX_BACKOFF_SECONDS
 
 
 @pytest.mark.parametrize("date", [None, "", "today", "Tue, 08 Jul 2026 10:00:00"])
@@ -59,4 +59,4 @@
 
 @given(st.lists(st.one_of(st.text(), NUMBERS, DATES), max_size=3), st.one_of(st.none(), DATES))
 def test_whatever_is_written_asks_for_a_time_within_the_longest(values, date):
-    assert 0.0 <= rest_seconds(values, date) <= LONGEST_REST_SECONDS
+    assert 0.0 <= rest_seconds(values, date) <= MAX_BACKOFF_SECONDS
--- a/tests/systems/test_target_limits.py
+++ b/tests/systems/test_target_limits.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from traystall.systems.target_limits import ANY_NUMBER, LEAST_PER_SECOND, read_limit
+from traystall.systems.target_limits import ANY_NUMBER, MIN_PER_SECOND, read_limit
 
 
 @pytest.mark.parametrize(
@@ -13,9 +13,9 @@
         ([" 20 "], 20.0),
         (["1e9"], 1e9),
         # Only an answer can tell that it takes more again, so a few go there all the same.
-        (["0"], LEAST_PER_SECOND),
-        (["-0.0"], LEAST_PER_SECOND),
-        (["0.001"], LEAST_PER_SECOND),
+        (["0"], MIN_PER_SECOND),
+        (["-0.0"], MIN_PER_SECOND),
+        (["0.001"], MIN_PER_SECOND),
         # Of several the lowest; what can't be read beside one that can counts for nothing.
         (["5", "2"], 2.0),
         (["x", "2"], 2.0),
--- a/tests/tables/test_target_limits.py
+++ b/tests/tables/test_target_limits.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from traystall.tables.target_limits import TOLD_MARGIN_SECONDS, TargetLimit
+from traystall.tables.target_limits import REMOTE_MARGIN_SECONDS, TargetLimit
 
 
 def limited(per_second=1.0, sent_at=10.0):
@@ -44,21 +44,21 @@
 
 def test_end_that_another_tells_has_to_be_surely_later():
     limit = limited()
-    assert not limit.take_told(None, 10.0 + TOLD_MARGIN_SECONDS, "other", 12.0)
-    assert limit.take_told(None, 10.1 + TOLD_MARGIN_SECONDS, "other", 12.0)
+    assert not limit.merge_remote(None, 10.0 + REMOTE_MARGIN_SECONDS, "other", 12.0)
+    assert limit.merge_remote(None, 10.1 + REMOTE_MARGIN_SECONDS, "other", 12.0)
 
 
 def test_limit_that_another_tells_from_before_the_end_is_over():
     limit = limited()
     limit.end(11.0)
-    assert not limit.take_told(1.0, 10.9, "other", 12.0)
-    assert limit.take_told(1.0, 11.1, "other", 12.0)
+    assert not limit.merge_remote(1.0, 10.9, "other", 12.0)
+    assert limit.merge_remote(1.0, 11.1, "other", 12.0)
 
 
 def test_word_that_is_told_to_and_fro_grows_no_younger():
     limit = limited(1.0, 10.0)
     for step in range(1, 100):
-        limit.take_told(1.0, 10.0 + step * 0.004, "other", 11.0)
+        limit.merge_remote(1.0, 10.0 + step * 0.004, "other", 11.0)
     assert limit.end(10.01)
 
 
--- a/traystall/permits/news.py
+++ b/traystall/permits/news.py
@@ -11,11 +11,11 @@
 from traystall.tables.gateways import GatewayRow
 
 # So often is looked for something to tell, in seconds: all know a limit within two turns.
-_TURN_SECONDS = 0.2
+_INTERVAL_SECONDS = 0.2
 # A gateway that could not be told is told again after so many seconds.
-_AGAIN_SECONDS = 1.0
+_RETRY_SECONDS = 1.0
 # What changes by less than this factor is told by those who ask for permits only.
-_TOLD_FACTOR = 2.0
+_PUBLISHED_FACTOR = 2.0
 
 logger = logging.getLogger(__name__)
 
@@ -31,15 +31,15 @@
         self._data_centre_of = data_centre_of
         self._lives = lives
         # What each gateway was told last, and when one that could not be reached is told again.
-        self._told: dict[str, dict[str, float | None]] = {}
-        self._again_at: dict[str, float] = {}
+        self._sent: dict[str, dict[str, float | None]] = {}
+        self._retry_at: dict[str, float] = {}
         self._tasks: set[asyncio.Task] = set()
 
     async def tell_forever(self) -> None:
         """Look again and again, and note who serves."""
         try:
             while True:
-                await asyncio.sleep(_TURN_SECONDS)
+                await asyncio.sleep(_INTERVAL_SECONDS)
                 self.review()
         finally:
             for task in self._tasks:
@@ -56,15 +56,15 @@
         metrics.limited_targets.set({}, sum(limit.is_limited for limit in limits.values()))
         if not limits:
             return
-        self._told = {row.identity: self._told.get(row.identity, {}) for row in rows}
-        wanted = self._news(limits)
+        self._sent = {row.identity: self._sent.get(row.identity, {}) for row in rows}
+        pending = self._pending_updates(limits)
         for row in rows:
-            found = wanted.get(row.identity)
-            if found and now >= self._again_at.get(row.identity, 0.0):
-                self._again_at[row.identity] = now + _AGAIN_SECONDS
-                self._spawn(self._tell(row, found))
+            found = pending.get(row.identity)
+            if found and now >= self._retry_at.get(row.identity, 0.0):
+                self._retry_at[row.identity] = now + _RETRY_SECONDS
+                self._spawn(self._send_limits(row, found))
 
-    def _news(self, limits) -> dict[str, list[str]]:
+    def _pending_updates(self, limits) -> dict[str, list[str]]:
         """Return for each gateway the lives of which it should be told something."""
         own = self._permits.identity
         found: dict[str, list[str]] = {}
@@ -72,21 +72,21 @@
         for life, limit in list(limits.items()):
             lenders = self._permits.ranks.lenders(life, self._data_centre_of(life))
             if lenders and own == lenders[0]:
-                others = [name for name in self._told if name != own]
-                news = [n for n in others if self._is_news(n, life, limit.per_second)]
+                others = [name for name in self._sent if name != own]
+                recipients = [n for n in others if self._needs_update(n, life, limit.per_second)]
             else:
-                news = [n for n in lenders if n != own] if life in heard else []
-            for name in news:
+                recipients = [n for n in lenders if n != own] if life in heard else []
+            for name in recipients:
                 found.setdefault(name, []).append(life)
         return found
 
-    def _is_news(self, name, life, per_second) -> bool:
-        told = self._told[name].get(life)
-        if told is None or per_second is None:
-            return told != per_second
-        return not 1 / _TOLD_FACTOR < per_second / told < _TOLD_FACTOR
+    def _needs_update(self, name, life, per_second) -> bool:
+        sent = self._sent[name].get(life)
+        if sent is None or per_second is None:
+            return sent != per_second
+        return not 1 / _PUBLISHED_FACTOR < per_second / sent < _PUBLISHED_FACTOR
 
-    async def _tell(self, row: GatewayRow, lives):
+    async def _send_limits(self, row: GatewayRow, lives):
         records = [self._permits.record(life) for life in lives]
         message = LimitNews(sender=self._permits.identity, limits=records)
         try:
@@ -95,9 +95,9 @@
             logger.info("limits not told", extra={"peer": row.identity, "why": str(error)})
             self._permits.heard.update(lives)
             return
-        self._again_at.pop(row.identity, None)
-        told = self._told.setdefault(row.identity, {})
-        told.update((record.life, record.per_second) for record in records)
+        self._retry_at.pop(row.identity, None)
+        sent = self._sent.setdefault(row.identity, {})
+        sent.update((record.life, record.per_second) for record in records)
 
     def _spawn(self, coroutine):
         task = asyncio.create_task(coroutine)
--- a/traystall/permits/permits.py
+++ b/traystall/permits/permits.py
@@ -18,28 +18,28 @@
     PermitReturn,
     TargetLimitRecord,
 )
-from traystall.systems.permits import LentTarget
+from traystall.systems.permits import PermitSchedule
 from traystall.systems.target_limits import LimitWord
 from traystall.tables.gateways import GatewayRow
 from traystall.tables.target_limits import TargetLimit
 
 # An answer that takes longer, in seconds, costs a request more than another target does.
-_ASK_SECONDS = 0.06
+_REQUEST_TIMEOUT_SECONDS = 0.06
 # A lender that did not answer is left out so long, in seconds, and a target whose lenders both
 # don't is not asked for.
-_SILENT_SECONDS = 1.0
-_NO_LENDER_SECONDS = 0.3
+_LENDER_BACKOFF_SECONDS = 1.0
+_NO_LENDER_BACKOFF_SECONDS = 0.3
 # A permit may be used for so long, in seconds: a connection has to come up meanwhile.
-_VALID_SECONDS = 0.25
+_PERMIT_VALIDITY_SECONDS = 0.25
 # Those who ask again are spread between these parts of what the lender says.
-_SPREAD = (0.5, 1.5)
+_RETRY_SPREAD = (0.5, 1.5)
 # A log line tells when a limit begins, ends or changes by this factor.
 _LOGGED_FACTOR = 2.0
 # A limit that falls by more than this factor voids what was lent under the higher one.
 _VOID_FACTOR = 1.5
 # What is known of a target that this gateway doesn't know is kept so long, in seconds: it may be
 # told of a limit before it is told of the target.
-_KEPT_SECONDS = 10.0
+_UNKNOWN_RETENTION_SECONDS = 10.0
 
 
 class Permit(msgspec.Struct, frozen=True):
@@ -77,10 +77,10 @@
         self._random = random
         self._limits: dict[str, TargetLimit] = {}
         # Of these the ones that have ever named a limit, and since when a life is not known here.
-        self._named: dict[str, TargetLimit] = {}
+        self._announced: dict[str, TargetLimit] = {}
         self._unknown_since: dict[str, float] = {}
-        self._lent: dict[str, LentTarget] = {}
-        self._silent_until: dict[str, float] = {}
+        self._schedules: dict[str, PermitSchedule] = {}
+        self._lender_retry_at: dict[str, float] = {}
         self._tasks: set[asyncio.Task] = set()
         # Lives of which this gateway has heard something new by itself, until that is passed on.
         self.heard: set[str] = set()
@@ -97,35 +97,35 @@
         A life may be known late, after its first answers have come.
         """
         if limit is not None and limit.is_limited:
-            self._limits[life] = self._named[life] = msgspec.structs.replace(limit)
+            self._limits[life] = self._announced[life] = msgspec.structs.replace(limit)
         return self.limit(life)
 
     def limits(self) -> dict[str, TargetLimit]:
         """Return what is known of those that have ever named a limit, by the names of lives."""
-        return self._named
+        return self._announced
 
     def lent(self, life: str) -> int:
         """Return how many requests to a life of a target were lent here."""
-        return self._lent[life].lent if life in self._lent else 0
+        return self._schedules[life].lent if life in self._schedules else 0
 
-    def hear(self, life: str, word: LimitWord, sent_at: float, request: str) -> None:
+    def hear(self, life: str, announced: LimitWord, sent_at: float, request: str) -> None:
         """Take in what an answer says to a request that was sent at `sent_at`."""
         limit = self.limit(life)
         before = limit.per_second
-        if word.per_second is None:
+        if announced.per_second is None:
             changed = limit.end(sent_at)
         else:
-            changed = limit.name(word.per_second, sent_at, request, clock.monotonic())
+            changed = limit.name(announced.per_second, sent_at, request, clock.monotonic())
         if changed:
-            self._named[life] = limit
-            self._log(life, before, limit)
-        if changed or (word.per_second is None and limit.confirm_end(sent_at)):
+            self._announced[life] = limit
+            self._log_change(life, before, limit)
+        if changed or (announced.per_second is None and limit.confirm_end(sent_at)):
             self.heard.add(life)
 
     def take_news(self, news: LimitNews) -> None:
         """Take in what another gateway knows."""
         for record in news.limits or ():
-            self._take_record(record, news.sender or "")
+            self._merge_record(record, news.sender or "")
 
     def retain(self, lives: set[str]) -> None:
         """Forget lives of targets that have been gone for a while."""
@@ -133,9 +133,9 @@
         unknown = self._limits.keys() - lives
         self._unknown_since = {life: self._unknown_since.get(life, now) for life in unknown}
         for life, since in list(self._unknown_since.items()):
-            if now - since > _KEPT_SECONDS:
+            if now - since > _UNKNOWN_RETENTION_SECONDS:
                 self.heard.discard(life)
-                for held in (self._limits, self._named, self._lent):
+                for held in (self._limits, self._announced, self._schedules):
                     held.pop(life, None)
 
     def record(self, life: str) -> TargetLimitRecord:
@@ -145,15 +145,15 @@
         age = clock.monotonic() - said_at
         return TargetLimitRecord(life=life, per_second=limit.per_second, age=age)
 
-    def _take_record(self, record, sender):
+    def _merge_record(self, record, sender):
         now = clock.monotonic()
         limit = self.limit(record.life)
         before = limit.per_second
-        if limit.take_told(record.per_second, now - (record.age or 0.0), sender, now):
-            self._named[record.life] = limit
-            self._log(record.life, before, limit)
+        if limit.merge_remote(record.per_second, now - (record.age or 0.0), sender, now):
+            self._announced[record.life] = limit
+            self._log_change(record.life, before, limit)
 
-    def _log(self, life, before, limit):
+    def _log_change(self, life, before, limit):
         after = limit.per_second
         if before and after and 1 / _LOGGED_FACTOR < after / before < _LOGGED_FACTOR:
             return
@@ -193,16 +193,16 @@
             spare=is_spare,
         )
         for lender in self.ranks.lenders(life, data_centre):
-            reply = await self._ask(lender, request)
+            reply = await self._request_permit(lender, request)
             if reply is None or not reply.lends:
                 continue
-            self._take_record(reply.known, lender)
+            self._merge_record(reply.known, lender)
             if reply.granted:
-                return self._permit(limit, lender, reply, now)
-            self._close(limit, reply, patience, is_spare)
+                return self._permit_from(limit, lender, reply, now)
+            self._defer_requests(limit, reply, patience, is_spare)
             raise PermitDenied(reply.wait)
-        self._close_for(limit, _NO_LENDER_SECONDS, is_spare)
-        raise PermitDenied(_NO_LENDER_SECONDS)
+        self._defer_requests_for(limit, _NO_LENDER_BACKOFF_SECONDS, is_spare)
+        raise PermitDenied(_NO_LENDER_BACKOFF_SECONDS)
 
     def give_back(self, permit: Permit) -> None:
         """Return a permit that was not used: somebody else may have its moment."""
@@ -227,34 +227,36 @@
         is_void = permit.per_second > limit.per_second * _VOID_FACTOR
         return not is_void and clock.monotonic() <= permit.valid_until
 
-    async def _ask(self, lender, request) -> PermitReply | None:
+    async def _request_permit(self, lender, request) -> PermitReply | None:
         if lender == self.identity:
             return self.lend(request)
         now = clock.monotonic()
         address = self._address(lender)
-        if self.links is None or not address or now < self._silent_until.get(lender, 0.0):
+        if self.links is None or not address or now < self._lender_retry_at.get(lender, 0.0):
             return None
         try:
-            return await self.links.link(address).call(request, _ASK_SECONDS)
+            return await self.links.link(address).call(request, _REQUEST_TIMEOUT_SECONDS)
         except RpcError as error:
-            self._silent_until[lender] = clock.monotonic() + _SILENT_SECONDS
+            self._lender_retry_at[lender] = clock.monotonic() + _LENDER_BACKOFF_SECONDS
             decision("lender-silent", lender=lender, target=request.known.life, why=str(error))
             return None
 
-    def _permit(self, limit, lender, reply, asked_at) -> Permit:
+    def _permit_from(self, limit, lender, reply, asked_at) -> Permit:
         """Return the permit of a reply; its time runs from when it was asked for."""
         known = reply.known
         valid_from = asked_at + reply.wait
         # A lender that knows of no limit any more has heard a later word.
         per_second = known.per_second or limit.per_second or 0.0
-        return Permit(known.life, lender, per_second, valid_from, valid_from + _VALID_SECONDS)
+        return Permit(
+            known.life, lender, per_second, valid_from, valid_from + _PERMIT_VALIDITY_SECONDS
+        )
 
-    def _close(self, limit, reply, patience, is_spare):
+    def _defer_requests(self, limit, reply, patience, is_spare):
         """Ask for a target again when something may be lent, spread among those who want it."""
-        spread = self._random.uniform(*_SPREAD) * (reply.spread or 0.0)
-        self._close_for(limit, max(reply.wait - patience, spread), is_spare)
+        spread = self._random.uniform(*_RETRY_SPREAD) * (reply.spread or 0.0)
+        self._defer_requests_for(limit, max(reply.wait - patience, spread), is_spare)
 
-    def _close_for(self, limit, seconds, is_spare):
+    def _defer_requests_for(self, limit, seconds, is_spare):
         until = clock.monotonic() + seconds
         if is_spare:
             limit.spare_closed_until = until
@@ -270,7 +272,7 @@
         """Answer a gateway that asks for a permit."""
         now = clock.monotonic()
         life = request.known.life
-        self._take_record(request.known, request.sender)
+        self._merge_record(request.known, request.sender)
         part = self.ranks.part(life, request.data_centre or "", now) if self.may_lend else 0.0
         limit = self.limit(life)
         if not part:
@@ -278,10 +280,10 @@
         if not limit.is_limited:
             known = self.record(life)
             return PermitReply(lends=True, granted=True, wait=0.0, spread=0.0, known=known)
-        lent = self._lent.setdefault(life, LentTarget())
+        schedule = self._schedules.setdefault(life, PermitSchedule())
         rate = limit.per_second * part
         patience = request.patience or 0.0
-        loan = lent.lend(rate, request.sender, patience, bool(request.spare), now)
+        loan = schedule.lend(rate, request.sender, patience, bool(request.spare), now)
         if loan.is_granted:
             metrics.permits_lent_total.inc({})
         return PermitReply(
@@ -294,10 +296,10 @@
 
     def take_back(self, message: PermitReturn) -> None:
         """Take back a permit that somebody did not use."""
-        lent = self._lent.get(message.life)
-        if lent is not None:
+        schedule = self._schedules.get(message.life)
+        if schedule is not None:
             now = clock.monotonic()
-            lent.give_back(now + (message.left or 0.0), now)
+            schedule.give_back(now + (message.left or 0.0), now)
 
     def close(self) -> None:
         """End what is under way."""
--- a/traystall/permits/ranks.py
+++ b/traystall/permits/ranks.py
@@ -16,10 +16,10 @@
 # Views of who serves differ no longer than this, in seconds: control daemons tell each other and
 # their gateways within two, and a gateway that stops lends nothing from then on.
 SETTLE_SECONDS = 5.0
-_LENDERS = 2
+_LENDER_COUNT = 2
 
 
-class _View(msgspec.Struct):
+class _MembershipView(msgspec.Struct):
     """Hold who could lend from a moment on: name and data centre of each."""
 
     since: float
@@ -31,7 +31,7 @@
         if found is None:
             names = [name for name, place in self.members if place == data_centre]
             names = names or [name for name, _ in self.members]
-            found = rendezvous_order(f"limit {life}", names)[:_LENDERS]
+            found = rendezvous_order(f"limit {life}", names)[:_LENDER_COUNT]
             self.orders[life, data_centre] = found
         return found
 
@@ -42,7 +42,7 @@
     def __init__(self, own: str, settle_seconds: float = SETTLE_SECONDS):
         self._own = own
         self._settle_seconds = settle_seconds
-        self._views: list[_View] = []
+        self._views: list[_MembershipView] = []
 
     def note(self, rows: Iterable[GatewayRow], now: float) -> None:
         """Take in who serves now; without any directory this gateway is on its own."""
@@ -52,7 +52,7 @@
         if not rows:
             members = ((self._own, ""),)
         if not self._views or self._views[-1].members != members:
-            self._views.append(_View(now, members))
+            self._views.append(_MembershipView(now, members))
         self._forget(now)
 
     def lenders(self, life: str, data_centre: str) -> list[str]:
--- a/traystall/systems/breakers.py
+++ b/traystall/systems/breakers.py
@@ -10,7 +10,7 @@
 MAX_OPEN_SECONDS = 10.0
 
 
-def may_try(breaker: Breaker, now: float) -> bool:
+def allows_attempt(breaker: Breaker, now: float) -> bool:
     """Return whether work may be sent; an open breaker lets one probe through when due."""
     if breaker.failures < FAILURES_TO_OPEN:
         return True
--- a/traystall/systems/deadlines.py
+++ b/traystall/systems/deadlines.py
@@ -11,10 +11,10 @@
 # Patience with a repeatable attempt, as a multiple of the pessimistic time.
 PATIENCE_FACTOR = 2.0
 # A generation is given up only if it would be late even at a somewhat better pace.
-HOPELESS_MARGIN = 0.7
+BEST_CASE_PACE_FACTOR = 0.7
 MIN_TOKENS_OF_EVIDENCE = 8
-_MIN_PATIENCE = 0.1
-_UNKNOWN_PATIENCE_SHARE = 0.5
+_MIN_PATIENCE_SECONDS = 0.1
+_UNKNOWN_PATIENCE_RATIO = 0.5
 
 
 def least_time(times: TimeTable, pipeline: Pipeline, from_stage: int, now: float) -> float:
@@ -58,8 +58,8 @@
     stage = pipeline.stages[stage_index]
     known = times.of(pipeline.name, stage.name, now).quantile(PESSIMISTIC)
     if known is None:
-        return remaining * _UNKNOWN_PATIENCE_SHARE
-    return min(remaining, max(_MIN_PATIENCE, known * PATIENCE_FACTOR))
+        return remaining * _UNKNOWN_PATIENCE_RATIO
+    return min(remaining, max(_MIN_PATIENCE_SECONDS, known * PATIENCE_FACTOR))
 
 
 def is_hopeless(elapsed: float, done: int, left: int, remaining: float) -> bool:
@@ -70,4 +70,4 @@
     """
     if done < MIN_TOKENS_OF_EVIDENCE or done < left / 4:
         return False
-    return left * (elapsed / done) * HOPELESS_MARGIN > remaining
+    return left * (elapsed / done) * BEST_CASE_PACE_FACTOR > remaining
--- a/traystall/systems/estimates.py
+++ b/traystall/systems/estimates.py
@@ -20,15 +20,15 @@
     def __init__(self, now: float):
         self._current = HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS)
         self._previous = HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS)
-        self._turned_at = now
+        self._rotated_at = now
         self._cached: dict[float, tuple[int, float]] = {}
 
     def record(self, seconds: float, now: float) -> None:
         """Add one observed time."""
-        if now - self._turned_at > WINDOW_SECONDS:
+        if now - self._rotated_at > WINDOW_SECONDS:
             self._current, self._previous = self._previous, self._current
             self._current.reset()
-            self._turned_at = now
+            self._rotated_at = now
             self._cached.clear()
         self._current.record_value(max(_LOWEST_US, min(_HIGHEST_US, int(seconds * 1e6))))
 
--- a/traystall/systems/limits.py
+++ b/traystall/systems/limits.py
@@ -10,7 +10,7 @@
 LOAN_SECONDS = 30.0
 # Clocks of two instances may run apart by this fraction.
 CLOCK_DRIFT = 0.1
-MAX_WAIT = 60.0
+MAX_WAIT_SECONDS = 60.0
 
 
 class PermitLoan(msgspec.Struct, frozen=True):
@@ -53,7 +53,7 @@
 
 
 def position_inside(
-    customer: Customer, data_centres: list[DataCentre], own_place: str, index: int
+    customer: Customer, data_centres: list[DataCentre], own_data_centre: str, index: int
 ) -> int:
     """Return this gateway's position among those inside; beyond the count if it has none."""
     places = sorted(
@@ -62,19 +62,19 @@
     )
     before = 0
     for place in places:
-        if place.name == own_place:
+        if place.name == own_data_centre:
             # A gateway beyond the declared number has no part: the parts must not exceed the whole.
             return before + index if index < place.gateways else gateways_inside(customer, places)
         before += place.gateways
     return before
 
 
-def part_of(whole: float, index: int, count: int) -> float:
+def rate_share(whole: float, index: int, count: int) -> float:
     """Return the even part of a rate; the parts of all gateways sum to the whole."""
     return whole / count if index < count else 0.0
 
 
-def whole_part_of(whole: int, index: int, count: int) -> int:
+def concurrency_share(whole: int, index: int, count: int) -> int:
     """Return the part of a whole number; the parts of all gateways sum to the whole."""
     if index >= count:
         return 0
@@ -104,8 +104,8 @@
                 return Verdict(False, "concurrency", 1.0)
         if customer.limits.rate:
             if row.tokens < 1.0:
-                rate = part_of(customer.limits.rate, index, count)
-                wait = (1.0 - row.tokens) / rate if rate else MAX_WAIT
+                rate = rate_share(customer.limits.rate, index, count)
+                wait = (1.0 - row.tokens) / rate if rate else MAX_WAIT_SECONDS
                 return Verdict(False, "rate", wait)
             row.tokens -= 1.0
         row.running += 1
@@ -144,13 +144,13 @@
         """Return the permits usable for a request that ends by `needed_until`."""
         row.lent = [loan for loan in row.lent if loan.until > now]
         row.borrowed = [loan for loan in row.borrowed if loan.until > now]
-        own = whole_part_of(customer.limits.concurrency, index, count)
+        own = concurrency_share(customer.limits.concurrency, index, count)
         own -= sum(loan.permits for loan in row.lent)
         usable = (loan.permits for loan in row.borrowed if loan.until >= needed_until)
         return own + sum(usable)
 
     def _row(self, customer, index, count, now):
-        rate = part_of(customer.limits.rate, index, count)
+        rate = rate_share(customer.limits.rate, index, count)
         capacity = max(1.0, rate * BURST_SECONDS)
         row = self._rows.get(customer.name)
         if row is None:
--- a/traystall/systems/orders.py
+++ b/traystall/systems/orders.py
@@ -64,7 +64,7 @@
     replicas ready there, and at most one engine of a place changes at a time.
     """
     orders = []
-    groups = _by_pool_and_place(targets)
+    groups = _by_pool_and_data_centre(targets)
     for model in models:
         for (pool, _), members in sorted(groups.items()):
             if pool == model.pool:
@@ -83,7 +83,7 @@
     replicas = min(model.replicas, len(members))
     if len(ready) < replicas:
         return _load_order(model, wanted, known, budget, now)
-    return _drop_order(model, wanted, known)
+    return _unload_order(model, wanted, known)
 
 
 def _load_order(model, wanted, known, budget, now):
@@ -96,7 +96,7 @@
     return Order(engine.target, models, f"load {model.name} {model.version}")
 
 
-def _drop_order(model, wanted, known):
+def _unload_order(model, wanted, known):
     for engine in sorted(known, key=lambda state: state.target):
         old = {held for held in engine.ready if held.name == model.name and held != wanted}
         if old:
@@ -105,7 +105,7 @@
     return None
 
 
-def _by_pool_and_place(targets):
+def _by_pool_and_data_centre(targets):
     groups = defaultdict(list)
     for target in targets:
         if target.kind is Kind.ENGINE:
--- a/traystall/systems/owners.py
+++ b/traystall/systems/owners.py
@@ -6,17 +6,17 @@
 """
 
 # Up to this many targets in a data centre, every gateway asks all of them.
-ASK_ALL = 32
-COPIES = 2
+MAX_TARGETS_PROBED_BY_ALL = 32
+PROBERS_PER_TARGET = 2
 
 
 def owned(targets: list[str], gateways: list[str], own: str) -> set[str]:
     """Return the names of the targets that the gateway `own` asks."""
-    if len(targets) <= ASK_ALL:
+    if len(targets) <= MAX_TARGETS_PROBED_BY_ALL:
         return set(targets)
     names = sorted({*gateways, own})
     position = names.index(own)
-    copies = min(COPIES, len(names))
+    copies = min(PROBERS_PER_TARGET, len(names))
     return {
         target
         for index, target in enumerate(sorted(targets))
--- a/traystall/systems/permits.py
+++ b/traystall/systems/permits.py
@@ -17,14 +17,14 @@
 # What was not lent for a while may be lent at once, but no more than that of so many seconds.
 _BURST_SECONDS = 0.1
 # Gateways that asked within so many seconds are taken to want more.
-_ASKERS_SECONDS = 2.0
+_REQUESTER_LIFETIME_SECONDS = 2.0
 # Lenders and their gateways ask so many times as often as there is something to lend.
-_ASKS_PER_PERMIT = 2.0
+_REQUESTS_PER_PERMIT = 2.0
 # A gateway that got nothing asks again after so many seconds at the latest.
 _MAX_SPREAD_SECONDS = 3.0
 
 
-class Loan(msgspec.Struct, frozen=True):
+class PermitGrant(msgspec.Struct, frozen=True):
     """Hold an answer to a gateway that asks for a permit; all in seconds.
 
     A permit may be used from `wait` on. Without one `wait` is when the next would be free, and
@@ -36,60 +36,62 @@
     spread: float = 0.0
 
 
-class LentTarget(msgspec.Struct):
+class PermitSchedule(msgspec.Struct):
     """Hold what was lent of one life of a target."""
 
     # The last moment that was dealt out, and those that were given back unused.
-    last_at: float = float("-inf")
-    returned: list[float] = []
+    last_send_at: float = float("-inf")
+    returned_times: list[float] = []
     lent: int = 0
-    askers: dict[str, float] = {}
+    requesters: dict[str, float] = {}
 
     def lend(
-        self, per_second: float, asker: str, patience: float, is_spare: bool, now: float
-    ) -> Loan:
+        self, per_second: float, requester: str, patience: float, is_spare: bool, now: float
+    ) -> PermitGrant:
         """Return a permit that may be used within `patience` seconds, or when there is one.
 
         With `is_spare` it is for something that may as well be left out: only what nobody has
         wanted for a while is given for it.
         """
-        self._note_asker(asker, now)
+        self._record_requester(requester, now)
         interval = 1.0 / per_second
-        next_at = self.last_at + interval
-        if is_spare and now - next_at < interval:
-            return Loan(False, interval, self._spread(per_second))
-        slot = self._returned_slot(patience, now)
-        if slot is None:
-            base = max(next_at, now - _BURST_SECONDS)
-            slot = max(now, base)
-            if slot - now > patience:
-                return Loan(False, slot - now, self._spread(per_second))
-            self.last_at = base
+        next_send_at = self.last_send_at + interval
+        if is_spare and now - next_send_at < interval:
+            return PermitGrant(False, interval, self._spread(per_second))
+        send_at = self._take_returned_time(patience, now)
+        if send_at is None:
+            base = max(next_send_at, now - _BURST_SECONDS)
+            send_at = max(now, base)
+            if send_at - now > patience:
+                return PermitGrant(False, send_at - now, self._spread(per_second))
+            self.last_send_at = base
         self.lent += 1
-        return Loan(True, slot - now)
+        return PermitGrant(True, send_at - now)
 
-    def give_back(self, slot: float, now: float) -> None:
+    def give_back(self, send_at: float, now: float) -> None:
         """Take back a permit for a moment that is still to come; one for the past is lost."""
         # It seems a little later than it was lent by the time that its return took.
-        slot = min(slot, self.last_at)
-        if slot > now:
-            bisect.insort(self.returned, slot)
+        send_at = min(send_at, self.last_send_at)
+        if send_at > now:
+            bisect.insort(self.returned_times, send_at)
             self.lent -= 1
 
-    def _returned_slot(self, patience, now):
-        while self.returned and self.returned[0] < now:
-            self.returned.pop(0)
-        if self.returned and self.returned[0] - now <= patience:
-            return self.returned.pop(0)
+    def _take_returned_time(self, patience, now):
+        while self.returned_times and self.returned_times[0] < now:
+            self.returned_times.pop(0)
+        if self.returned_times and self.returned_times[0] - now <= patience:
+            return self.returned_times.pop(0)
         return None
 
-    def _note_asker(self, asker, now):
-        self.askers[asker] = now
-        if len(self.askers) > 1:
-            self.askers = {
-                name: at for name, at in self.askers.items() if now - at < _ASKERS_SECONDS
+    def _record_requester(self, requester, now):
+        self.requesters[requester] = now
+        if len(self.requesters) > 1:
+            self.requesters = {
+                name: at
+                for name, at in self.requesters.items()
+                if now - at < _REQUESTER_LIFETIME_SECONDS
             }
 
     def _spread(self, per_second):
-        others = len(self.askers) - 1
-        return min(_MAX_SPREAD_SECONDS, others / (_ASKS_PER_PERMIT * per_second))
+        others = len(self.requesters) - 1
+        return min(_MAX_SPREAD_SECONDS, others / (_REQUESTS_PER_PERMIT * per_second))
--- a/traystall/systems/place.py
+++ b/traystall/systems/place.py
@@ -26,11 +26,13 @@
     return inside
 
 
-def holder_candidates(customer: Customer, gateways, own_identity: str, own_place: str) -> list:
+def holder_candidates(
+    customer: Customer, gateways, own_identity: str, own_data_centre: str
+) -> list:
     """Return gateways that may keep a copy of a result, those in other data centres first."""
     inside = [
         row
         for row in gateways
         if row.identity != own_identity and is_allowed(customer, row.data_centre)
     ]
-    return sorted(inside, key=lambda row: (row.data_centre == own_place, row.identity))
+    return sorted(inside, key=lambda row: (row.data_centre == own_data_centre, row.identity))
--- a/traystall/systems/queues.py
+++ b/traystall/systems/queues.py
@@ -11,7 +11,7 @@
 
 WAIT_WEIGHT = 0.15
 # Work is held back once this many times the slots of the following stage wait for it.
-HELD_BEYOND = 2
+MAX_WAITING_PER_NEXT_SLOT = 2
 
 
 class Waiter(msgspec.Struct, eq=False):
@@ -77,7 +77,7 @@
     """
     if not waiter.next_pool or waiter.priority is PriorityClass.QUICK:
         return False
-    return waiting_next >= max(1, HELD_BEYOND * slots_next)
+    return waiting_next >= max(1, MAX_WAITING_PER_NEXT_SLOT * slots_next)
 
 
 def order(waiters: list[Waiter], clock: FairClock) -> list[Waiter]:
--- a/traystall/systems/repair.py
+++ b/traystall/systems/repair.py
@@ -38,10 +38,10 @@
 
 def next_members(view: GroupView) -> tuple[MemberRecord, ...] | None:
     """Return the members after the next change, or None if none is needed."""
-    return _drop_wiped(view) or _admit(view) or _promote(view) or _drop_silent(view)
+    return _remove_wiped(view) or _admit(view) or _promote(view) or _remove_silent(view)
 
 
-def _drop_wiped(view):
+def _remove_wiped(view):
     new_identities = {member.address: member.identity for member in view.joining}
     for member in view.members:
         successor = new_identities.get(member.address)
@@ -73,7 +73,7 @@
     return None
 
 
-def _drop_silent(view):
+def _remove_silent(view):
     heard = [m for m in view.members if m.voter and m.identity not in view.silent]
     for member in view.members:
         if member.identity not in view.silent or member.identity == view.own_identity:
--- a/traystall/systems/rests.py
+++ b/traystall/systems/rests.py
@@ -9,7 +9,7 @@
 TURNED_AWAY = 503
 # A longer rest is not honoured, in seconds. The longest event that the stated aim names lasts
 # minutes (regions that lose each other): an hour holds it, and bounds what a wrong figure costs.
-LONGEST_REST_SECONDS = 3600.0
+MAX_BACKOFF_SECONDS = 3600.0
 
 
 def rest_seconds(values: Iterable[str], date: str | None = None) -> float:
@@ -19,7 +19,7 @@
     wrote both; without one it asks for nothing, like text, nan and what is not above 0.
     """
     longest = max((_seconds(value.strip(), date) for value in values), default=0.0)
-    return min(longest, LONGEST_REST_SECONDS)
+    return min(longest, MAX_BACKOFF_SECONDS)
 
 
 def _seconds(value, date):
--- a/traystall/systems/retries.py
+++ b/traystall/systems/retries.py
@@ -6,8 +6,8 @@
 
 MAX_ATTEMPTS = 4
 # Tokens that each success adds to the budget, and that each retry takes.
-BUDGET_PER_SUCCESS = 0.2
-BUDGET_CAP = 20.0
+TOKENS_PER_SUCCESS = 0.2
+MAX_BUDGET_TOKENS = 20.0
 
 
 class FailureKind(StrEnum):
@@ -21,11 +21,11 @@
 class RetryBudget(msgspec.Struct):
     """Hold tokens for retries: a fraction of recent successes, bounded."""
 
-    tokens: float = BUDGET_CAP
+    tokens: float = MAX_BUDGET_TOKENS
 
     def on_success(self) -> None:
         """Add what one success allows."""
-        self.tokens = min(BUDGET_CAP, self.tokens + BUDGET_PER_SUCCESS)
+        self.tokens = min(MAX_BUDGET_TOKENS, self.tokens + TOKENS_PER_SUCCESS)
 
     def take(self) -> bool:
         """Take one retry's token; return whether there was one."""
--- a/traystall/systems/routing.py
+++ b/traystall/systems/routing.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from traystall.systems import windows
-from traystall.systems.breakers import may_try
+from traystall.systems.breakers import allows_attempt
 from traystall.systems.queues import Waiter
 from traystall.tables.entities import Customer, PriorityClass, Stage
 from traystall.tables.targets import TargetRow, TargetState
@@ -18,7 +18,7 @@
 # A target up to this much slower than its pool is not asked whether it can finish in time.
 SLOW_RATIO = 1.5
 # Added for quick work on a target that keeps no slot for it, where it may wait for bulk work.
-NO_KEPT_SLOT = 1.0
+NO_RESERVED_SLOT_PENALTY = 1.0
 # Quick work may exceed a target's slots by this factor before it waits at the gateway.
 QUICK_OVERCOMMIT = 2
 
@@ -62,7 +62,7 @@
     """Return the cost of sending one more attempt to the target; lower is better."""
     waiting = row.total_in_flight + IN_FLIGHT_OFFSET
     if priority is PriorityClass.QUICK and not row.keeps_quick_slot:
-        waiting += NO_KEPT_SLOT
+        waiting += NO_RESERVED_SLOT_PENALTY
     return waiting * row.service_ratio
 
 
@@ -82,7 +82,7 @@
         cost = score(row, priority)
         if cost > best_score or not has_room(row, priority, now):
             continue
-        if not may_try(row.breaker, now) or not can_finish(row, waiter, now):
+        if not allows_attempt(row.breaker, now) or not can_finish(row, waiter, now):
             continue
         if cost < best_score:
             best, best_score = [row], cost
--- a/traystall/systems/speeds.py
+++ b/traystall/systems/speeds.py
@@ -18,13 +18,13 @@
 def on_time(row: TargetRow, seconds: float, typical: float | None, now: float) -> None:
     """Take in one observed time, given the typical one of the same stage."""
     if typical:
-        _fold(row, seconds / typical, _WEIGHT, now)
+        _update_ratio(row, seconds / typical, _WEIGHT, now)
 
 
 def on_overdue(row: TargetRow, elapsed: float, typical: float | None, now: float) -> None:
     """Take in that an attempt has taken `elapsed` and is not done: a lower bound only."""
     if typical and elapsed / typical > max(row.service_ratio, OVERDUE_RATIO):
-        _fold(row, elapsed / typical, _OVERDUE_WEIGHT, now)
+        _update_ratio(row, elapsed / typical, _OVERDUE_WEIGHT, now)
 
 
 def is_usual(elapsed: float, typical: float | None) -> bool:
@@ -39,7 +39,7 @@
         row.ratio_at = now
 
 
-def _fold(row, ratio, weight, now):
+def _update_ratio(row, ratio, weight, now):
     bounded = min(_MAX_RATIO, max(_MIN_RATIO, ratio))
     row.service_ratio += weight * (bounded - row.service_ratio)
     row.ratio_at = now
--- a/traystall/systems/target_limits.py
+++ b/traystall/systems/target_limits.py
@@ -9,7 +9,7 @@
 LIMIT = "Traystall-Limit"
 # A target whose limit is lower gets so many requests a second all the same: only an answer can tell
 # that it takes more again.
-LEAST_PER_SECOND = 0.1
+MIN_PER_SECOND = 0.1
 
 
 class LimitWord(msgspec.Struct, frozen=True):
@@ -34,7 +34,7 @@
     if not numbers:
         return None
     lowest = min(numbers)
-    return ANY_NUMBER if math.isinf(lowest) else LimitWord(max(LEAST_PER_SECOND, lowest))
+    return ANY_NUMBER if math.isinf(lowest) else LimitWord(max(MIN_PER_SECOND, lowest))
 
 
 def _number(text):
--- a/traystall/systems/windows.py
+++ b/traystall/systems/windows.py
@@ -10,16 +10,16 @@
 from traystall.tables.targets import TargetRow
 
 # Answers within this multiple of the fastest ones show that the target has room.
-ROOM_RATIO = 1.1
+IDLE_RATIO = 1.1
 # Answers beyond this multiple show a queue at the target.
 QUEUE_RATIO = 1.25
 # What is left of the excess after an answer that shows a queue.
-STEP_BACK = 0.5
+EXCESS_DECREASE_FACTOR = 0.5
 
 
 def allowance(row: TargetRow) -> int:
     """Return how many bulk attempts may be in flight at the target."""
-    return row.share + int(row.extra)
+    return row.share + int(row.excess_slots)
 
 
 def on_time(row: TargetRow, seconds: float, least: float | None, was_limited: bool) -> None:
@@ -30,15 +30,17 @@
     ratio = seconds / (least * max(1.0, row.service_ratio))
     if ratio > QUEUE_RATIO:
         on_queue(row)
-    elif ratio < ROOM_RATIO and was_limited:
-        row.extra = min(float(row.target.slots), row.extra + 1 / max(1, allowance(row)))
+    elif ratio < IDLE_RATIO and was_limited:
+        row.excess_slots = min(
+            float(row.target.slots), row.excess_slots + 1 / max(1, allowance(row))
+        )
 
 
 def on_queue(row: TargetRow) -> None:
     """Step back from a target at which work queues."""
-    row.extra *= STEP_BACK
+    row.excess_slots *= EXCESS_DECREASE_FACTOR
 
 
 def on_failure(row: TargetRow) -> None:
     """Give up what exceeds the share after a failure."""
-    row.extra = 0.0
+    row.excess_slots = 0.0
--- a/traystall/tables/requests.py
+++ b/traystall/tables/requests.py
@@ -47,7 +47,7 @@
     # Nothing may be sent under the claim after this time, in monotonic seconds.
     claim_ends_at: float = float("inf")
     # Whether the claim is an earlier request's, whose work is known to have run.
-    took_over: bool = False
+    adopted_claim: bool = False
     # Attempts of which a byte may have left, and those of them proven not run.
     attempts_sent: int = 0
     attempts_not_run: int = 0
@@ -62,7 +62,7 @@
         """Return what may truthfully be said of the request now."""
         if self.finished:
             return RunState.RAN
-        if self.took_over or self.attempts_sent > self.attempts_not_run:
+        if self.adopted_claim or self.attempts_sent > self.attempts_not_run:
             return RunState.MAY_HAVE_RUN
         return RunState.NOT_RUN
 
@@ -76,13 +76,13 @@
         """Go on under an earlier request's claim, whose work has run."""
         self.claim_id = claim_id
         self.claimed = True
-        self.took_over = True
+        self.adopted_claim = True
 
     @property
     def may_have_run_since_claim(self) -> bool:
         """Return whether anything may have run under the claim."""
         sent = self.attempts_sent - self.attempts_not_run > self.doubtful_before_claim
-        return sent or self.took_over
+        return sent or self.adopted_claim
 
     def is_repeatable(self, stage) -> bool:
         """Return whether an attempt at `stage` may be made again after a doubt."""
--- a/traystall/tables/target_limits.py
+++ b/traystall/tables/target_limits.py
@@ -3,10 +3,10 @@
 import msgspec
 
 # An end that another process tells counts as so much older, in seconds: its age grows on its way.
-TOLD_MARGIN_SECONDS = 0.5
+REMOTE_MARGIN_SECONDS = 0.5
 # For so long, in seconds, answers that confirm an end are passed on too: the first may count as too
 # old elsewhere.
-_CONFIRMED_SECONDS = 2.0
+_CONFIRM_WINDOW_SECONDS = 2.0
 
 
 class TargetLimit(msgspec.Struct):
@@ -80,22 +80,24 @@
         """Take in one more answer without a limit; return whether others should hear of it."""
         if (
             self.is_limited
-            or not self.ended_at < sent_at < self.first_ended_at + _CONFIRMED_SECONDS
+            or not self.ended_at < sent_at < self.first_ended_at + _CONFIRM_WINDOW_SECONDS
         ):
             return False
         self.ended_at = sent_at
         return True
 
-    def take_told(self, per_second: float | None, sent_at: float, told_by: str, now: float) -> bool:
+    def merge_remote(
+        self, per_second: float | None, sent_at: float, told_by: str, now: float
+    ) -> bool:
         """Take in what another process knows; return whether that changes anything.
 
         The same word told to and fro would else become younger each time.
         """
         if per_second is None:
-            return self.end(sent_at - TOLD_MARGIN_SECONDS)
+            return self.end(sent_at - REMOTE_MARGIN_SECONDS)
         if not self.is_limited and sent_at <= self.ended_at:
             return False
         is_same = per_second == self.per_second
-        if is_same and sent_at < self.sent_at + TOLD_MARGIN_SECONDS:
+        if is_same and sent_at < self.sent_at + REMOTE_MARGIN_SECONDS:
             return False
         return self.name(per_second, sent_at, told_by, now)
--- a/traystall/tables/targets.py
+++ b/traystall/tables/targets.py
@@ -13,7 +13,7 @@
 from traystall.tables.target_limits import TargetLimit
 
 # So many targets that are no longer declared are remembered, the newest.
-_MOST_FORMER = 1000
+_MAX_FORMER_ROWS = 1000
 
 
 class TargetState(StrEnum):
@@ -54,7 +54,7 @@
     # Work other than quick that this gateway may have in flight here at once.
     share: int = 1
     # What it may have beyond its share, as long as the target keeps up.
-    extra: float = 0.0
+    excess_slots: float = 0.0
     may_exceed_share: bool = False
     # Whether one slot of the target is kept free of bulk work.
     keeps_quick_slot: bool = False
@@ -87,7 +87,7 @@
         return max(self.asked.rest_until, closed)
 
     @property
-    def has_asked(self) -> bool:
+    def has_restriction(self) -> bool:
         """Return whether it has ever asked for rest, or leaves."""
         return self.asked.rest_until > float("-inf") or self.state is TargetState.LEAVING
 
@@ -120,8 +120,10 @@
                 row = TargetRow(target)
             row.target = target
             rows[target.name] = row
-        former = [(name, row) for name, row in known.items() if name not in rows and row.has_asked]
-        self._former = dict(former[-_MOST_FORMER:])
+        former = [
+            (name, row) for name, row in known.items() if name not in rows and row.has_restriction
+        ]
+        self._former = dict(former[-_MAX_FORMER_ROWS:])
         self._rows = rows
         self._pools = {}
         for row in rows.values():
