--- a/traystall/permits/permits.py
+++ b/traystall/permits/permits.py
@@ -106,7 +106,7 @@
 
     def lent(self, life: str) -> int:
         """Return how many requests to a life of a target were lent here."""
-        return self._schedules[life].lent if life in self._schedules else 0
+        return self._schedules[life].granted_permits if life in self._schedules else 0
 
     def hear(self, life: str, announced: LimitWord, sent_at: float, request: str) -> None:
         """Take in what an answer says to a request that was sent at `sent_at`."""
--- a/traystall/systems/__init__.py
+++ b/traystall/systems/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions over the tables, one module a decision."""
+"""Pure decision logic over the tables: one module for each decision, without I/O."""
--- a/traystall/systems/admission.py
+++ b/traystall/systems/admission.py
@@ -1,4 +1,4 @@
-"""Refuse at once what can't be finished, and say when to come back."""
+"""Admission control: refuse requests that can't meet their deadline, with a Retry-After."""
 
 import math
 
@@ -13,7 +13,7 @@
 
 
 class Admission(msgspec.Struct, frozen=True):
-    """Say whether to go on; if not, why and after how many seconds to come back."""
+    """The decision on a request; if not admitted, why and after how many seconds to retry."""
 
     admitted: bool
     why: str = ""
@@ -21,7 +21,7 @@
 
 
 def admit(times: TimeTable, pipeline: Pipeline, deadline: float, now: float) -> Admission:
-    """Refuse only what even the fastest recent calls could not finish in time."""
+    """Refuse a request only if even the fastest recent calls would miss its deadline."""
     least = least_time(times, pipeline, 0, now)
     remaining = deadline - now
     if remaining > 0 and least <= remaining:
@@ -31,11 +31,11 @@
 
 
 def queue_seconds(waiting: int, slots: int, times: TimeTable, pipeline: Pipeline, now) -> float:
-    """Return how long a queue of `waiting` requests before `slots` slots takes to drain."""
+    """Return the seconds in which `slots` slots drain a queue of `waiting` requests."""
     per_request = typical_time(times, pipeline, 0, now)
     return waiting * per_request / max(1, slots)
 
 
 def retry_after_seconds(estimate: float) -> int:
-    """Return whole seconds for a Retry-After header from an estimate of recovery."""
+    """Return an estimated recovery time as whole seconds for a Retry-After header."""
     return int(min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, math.ceil(estimate))))
--- a/traystall/systems/breakers.py
+++ b/traystall/systems/breakers.py
@@ -1,6 +1,6 @@
-"""Keep work off a target that fails, however fast it fails.
+"""Circuit breakers: stop sending work to a target that fails, however fast it fails.
 
-Slowness is not failure: it raises the service ratio in `traystall.systems.speeds`.
+A slow response isn't a failure: it raises the service ratio in `traystall.systems.speeds`.
 """
 
 from traystall.tables.targets import Breaker
@@ -11,14 +11,14 @@
 
 
 def allows_attempt(breaker: Breaker, now: float) -> bool:
-    """Return whether work may be sent; an open breaker lets one probe through when due."""
+    """Return whether work may be sent; an open breaker allows one probe after its open time."""
     if breaker.failures < FAILURES_TO_OPEN:
         return True
     return now >= breaker.open_until and not breaker.probing
 
 
 def on_sent(breaker: Breaker) -> None:
-    """Record that work was sent; under an open breaker it is the probe."""
+    """Record a sent attempt, which is the probe if the breaker is open."""
     if breaker.failures >= FAILURES_TO_OPEN:
         breaker.probing = True
 
@@ -31,12 +31,12 @@
 
 
 def on_abandoned(breaker: Breaker) -> None:
-    """Record that work ended without telling anything about the target."""
+    """Record an attempt that ended without information about the target."""
     breaker.probing = False
 
 
 def on_failure(breaker: Breaker, now: float, random) -> None:
-    """Count a failure; open the breaker for a growing, jittered time after several in a row."""
+    """Count a failure; consecutive ones open the breaker for an exponential, jittered time."""
     breaker.failures += 1
     breaker.probing = False
     if breaker.failures < FAILURES_TO_OPEN:
--- a/traystall/systems/deadlines.py
+++ b/traystall/systems/deadlines.py
@@ -1,16 +1,18 @@
-"""Split one deadline over stages: latest start, patience with an attempt."""
+"""Divide a request's deadline over its stages: latest start times and attempt timeouts."""
 
 from traystall.systems.estimates import TimeTable
 from traystall.tables.entities import Pipeline
 
-# A stage is hopeless when less is left than nearly every call needs at least.
+# Quantiles of the measured stage times. Admission refuses a request only if even the optimistic
+# time doesn't fit into what is left of its deadline.
 OPTIMISTIC = 0.05
 TYPICAL = 0.5
 LIKELY = 0.75
 PESSIMISTIC = 0.99
-# Patience with a repeatable attempt, as a multiple of the pessimistic time.
+# Timeout of a repeatable attempt, as a multiple of the pessimistic time.
 PATIENCE_FACTOR = 2.0
-# A generation is given up only if it would be late even at a somewhat better pace.
+# A generation is cancelled only if it would miss its deadline even at this fraction of the
+# measured time per token.
 BEST_CASE_PACE_FACTOR = 0.7
 MIN_TOKENS_OF_EVIDENCE = 8
 _MIN_PATIENCE_SECONDS = 0.1
@@ -18,7 +20,7 @@
 
 
 def least_time(times: TimeTable, pipeline: Pipeline, from_stage: int, now: float) -> float:
-    """Return the least seconds that the stages from `from_stage` on can need; 0 if unknown."""
+    """Return the minimum time in seconds of the stages from `from_stage` on; 0 if unknown."""
     total = 0.0
     for stage in pipeline.stages[from_stage:]:
         total += times.of(pipeline.name, stage.name, now).quantile(OPTIMISTIC) or 0.0
@@ -26,7 +28,7 @@
 
 
 def typical_time(times: TimeTable, pipeline: Pipeline, from_stage: int, now: float) -> float:
-    """Return the seconds that the stages from `from_stage` on usually need; 0 if unknown."""
+    """Return the median time in seconds of the stages from `from_stage` on; 0 if unknown."""
     total = 0.0
     for stage in pipeline.stages[from_stage:]:
         total += times.of(pipeline.name, stage.name, now).quantile(TYPICAL) or 0.0
@@ -34,7 +36,7 @@
 
 
 def likely_time(times: TimeTable, pipeline: Pipeline, from_stage: int, now: float) -> float:
-    """Return the seconds in which most calls get through the stages; 0 if unknown."""
+    """Return the time in seconds within which most calls complete the stages; 0 if unknown."""
     seconds = times.of(pipeline.name, pipeline.stages[from_stage].name, now).quantile(LIKELY) or 0.0
     return seconds + typical_time(times, pipeline, from_stage + 1, now)
 
@@ -42,10 +44,10 @@
 def latest_start(
     times: TimeTable, pipeline: Pipeline, stage_index: int, deadline: float, now: float
 ) -> float:
-    """Return the time after which starting the stage will most likely miss the deadline.
+    """Return the time after which a start of the stage is likely to miss the deadline.
 
-    Under overload the queue hands out work at the last moment that this allows,
-    so an optimistic time here would start mostly work that fails.
+    Under overload the queue dispatches work at the last moment that this time
+    allows. With an optimistic estimate, most of that work would time out.
     """
     return deadline - likely_time(times, pipeline, stage_index, now)
 
@@ -53,7 +55,7 @@
 def patience(
     times: TimeTable, pipeline: Pipeline, stage_index: int, deadline: float, now: float
 ) -> float:
-    """Return how many seconds to wait for a repeatable attempt before trying another target."""
+    """Return the timeout in seconds after which a repeatable attempt moves to another target."""
     remaining = max(0.0, deadline - now)
     stage = pipeline.stages[stage_index]
     known = times.of(pipeline.name, stage.name, now).quantile(PESSIMISTIC)
@@ -63,10 +65,11 @@
 
 
 def is_hopeless(elapsed: float, done: int, left: int, remaining: float) -> bool:
-    """Return whether `left` more tokens can't come in `remaining` seconds at the pace so far.
+    """Return whether `left` more tokens will take longer than `remaining` seconds.
 
-    The pace counts the wait before the first token, so early on it says too
-    much: only a good part of the tokens is evidence.
+    The estimate uses the pace so far, which includes the time to the first
+    token and is therefore too slow early on. It needs a minimum of tokens, and
+    at least a fifth of all.
     """
     if done < MIN_TOKENS_OF_EVIDENCE or done < left / 4:
         return False
--- a/traystall/systems/estimates.py
+++ b/traystall/systems/estimates.py
@@ -1,7 +1,7 @@
-"""Learn how long stages take, as quantiles over a sliding window.
+"""Estimate stage times as quantiles over a sliding window.
 
-Times are kept in HDR histograms of microseconds. Two histograms take turns, so
-that what is older than two windows no longer counts.
+Times are stored in HDR histograms of microseconds. Two histograms alternate, so
+that samples older than two windows are discarded.
 """
 
 from hdrh.histogram import HdrHistogram
@@ -10,12 +10,12 @@
 _HIGHEST_US = 600_000_000
 _DIGITS = 2
 WINDOW_SECONDS = 30.0
-# Below this many samples an estimate is not used.
+# Number of samples below which no estimate is returned.
 MIN_SAMPLES = 8
 
 
 class StageTimes:
-    """Hold the recent times of one stage of one pipeline."""
+    """Recent times of one stage of one pipeline."""
 
     def __init__(self, now: float):
         self._current = HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS)
@@ -34,16 +34,16 @@
 
     @property
     def samples(self) -> int:
-        """Return how many times are held."""
+        """Return the number of recorded times in the window."""
         return self._current.total_count + self._previous.total_count
 
     def quantile(self, fraction: float) -> float | None:
-        """Return the time in seconds that `fraction` of calls stay under, or None if unknown."""
+        """Return the quantile `fraction` of the times in seconds, or None if unknown."""
         count = self.samples
         if count < MIN_SAMPLES:
             return None
         cached = self._cached.get(fraction)
-        # A quantile costs a walk over the histogram: refresh it once 5 in 100 samples are new.
+        # A quantile scans the whole histogram, so it is recomputed only once 5 in 100 samples are new.
         if cached is not None and count < cached[0] * 1.05:
             return cached[1]
         value = self._compute(fraction)
@@ -57,7 +57,7 @@
 
 
 class TimeTable:
-    """Hold the times of every (pipeline, stage), made on first use."""
+    """Stage times by pipeline and stage, created on first use."""
 
     def __init__(self):
         self._rows: dict[tuple[str, str], StageTimes] = {}
--- a/traystall/systems/limits.py
+++ b/traystall/systems/limits.py
@@ -1,27 +1,32 @@
-"""Hold a customer's declared limits, in the part that this gateway may spend."""
+"""Rate and concurrency limits of customers, divided over the gateways.
+
+Each gateway enforces its own share of a customer's limits. A gateway that runs
+out borrows unused tokens or permits from its neighbours.
+"""
 
 import msgspec
 
 from traystall.tables.entities import Customer, DataCentre
 
-# A bucket holds at most this many seconds of its rate, but one request at least.
+# Capacity of a token bucket in seconds of its rate; at least one request.
 BURST_SECONDS = 1.0
-# Lent permits come back to their owner after this time.
+# Lent permits return to their owner after this time.
 LOAN_SECONDS = 30.0
-# Clocks of two instances may run apart by this fraction.
+# Assumed relative drift between the clocks of two instances, as a fraction.
 CLOCK_DRIFT = 0.1
+# Retry time for a gateway whose share of the rate is zero.
 MAX_WAIT_SECONDS = 60.0
 
 
 class PermitLoan(msgspec.Struct, frozen=True):
-    """Hold borrowed or lent permits; `until` is monotonic seconds of this process."""
+    """Borrowed or lent permits; `until` is monotonic seconds of this process."""
 
     permits: int
     until: float
 
 
 class LimitRow(msgspec.Struct):
-    """Hold one customer's bucket and its requests in progress at this gateway."""
+    """One customer's token bucket and running requests at this gateway."""
 
     tokens: float
     refilled_at: float
@@ -31,7 +36,7 @@
 
 
 class Loan(msgspec.Struct, frozen=True):
-    """Hold what one gateway hands to another: tokens for good, permits for `seconds`."""
+    """A transfer between gateways: tokens are permanent, permits are lent for `seconds`."""
 
     tokens: float = 0.0
     permits: int = 0
@@ -39,7 +44,7 @@
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """Say whether a request is within the limits; if not, when one may be again."""
+    """Whether a request is within the limits; if not, why and after how many seconds to retry."""
 
     within: bool
     why: str = ""
@@ -47,7 +52,7 @@
 
 
 def gateways_inside(customer: Customer, data_centres: list[DataCentre]) -> int:
-    """Return how many gateways are declared where the customer's requests may run."""
+    """Return the number of declared gateways in the customer's data centres, at least 1."""
     places = set(customer.data_centres)
     return max(1, sum(place.gateways for place in data_centres if place.name in places))
 
@@ -55,7 +60,10 @@
 def position_inside(
     customer: Customer, data_centres: list[DataCentre], own_data_centre: str, index: int
 ) -> int:
-    """Return this gateway's position among those inside; beyond the count if it has none."""
+    """Return this gateway's position among those of the customer's data centres.
+
+    The position of a gateway without a share is not below the number of gateways.
+    """
     places = sorted(
         (place for place in data_centres if place.name in customer.data_centres),
         key=lambda place: place.name,
@@ -63,31 +71,33 @@
     before = 0
     for place in places:
         if place.name == own_data_centre:
-            # A gateway beyond the declared number has no part: the parts must not exceed the whole.
+            # A gateway beyond the declared number has no share, so that the shares don't exceed
+            # the limit.
             return before + index if index < place.gateways else gateways_inside(customer, places)
         before += place.gateways
     return before
 
 
 def rate_share(whole: float, index: int, count: int) -> float:
-    """Return the even part of a rate; the parts of all gateways sum to the whole."""
+    """Return one gateway's equal share of a rate; all shares sum to `whole`."""
     return whole / count if index < count else 0.0
 
 
 def concurrency_share(whole: int, index: int, count: int) -> int:
-    """Return the part of a whole number; the parts of all gateways sum to the whole."""
+    """Return one gateway's share of a concurrency limit; all shares sum to `whole`."""
     if index >= count:
         return 0
     return whole // count + (1 if index < whole % count else 0)
 
 
 class Limiter:
-    """Decide and count, customer by customer.
+    """Enforce the limits of each customer at this gateway.
 
-    Parts follow demand: a gateway that runs out asks its neighbours. Tokens of
-    the rate change hands for good. Permits come back to the lender by time, so
-    the borrower may use them only for requests that surely end before that;
-    a lost answer loses tokens or permits, and never makes any.
+    Shares follow demand: a gateway that runs out requests more from its
+    neighbours. Rate tokens are transferred permanently. Concurrency permits
+    return to the lender after a fixed time, so the borrower uses them only for
+    requests that end before then. A lost reply can lose tokens or permits but
+    never creates any.
     """
 
     def __init__(self):
@@ -96,7 +106,7 @@
     def admit(
         self, customer: Customer, index: int, count: int, now: float, seconds: float
     ) -> Verdict:
-        """Return whether a request of at most `seconds` may start here, and count it if so."""
+        """Admit a request that runs for at most `seconds` if the limits allow it."""
         row = self._row(customer, index, count, now)
         if customer.limits.concurrency:
             ends_at = now + seconds
@@ -112,11 +122,11 @@
         return Verdict(True)
 
     def finish(self, customer: str) -> None:
-        """Count that a request of the customer ended."""
+        """Record the end of a request of the customer."""
         self._rows[customer].running -= 1
 
     def lend(self, customer: Customer, index: int, count: int, now: float, wanted: Loan) -> Loan:
-        """Hand out part of what is not used here: half at most, permits in use never."""
+        """Transfer up to half of the unused tokens and permits; permits in use stay here."""
         row = self._row(customer, index, count, now)
         tokens = 0.0
         if customer.limits.rate and row.tokens >= 1.0:
@@ -132,16 +142,16 @@
         return Loan(tokens, permits, LOAN_SECONDS)
 
     def borrow(self, customer: str, loan: Loan, asked_at: float) -> None:
-        """Take in what a neighbour handed out; `asked_at` is when it was asked."""
+        """Add a neighbour's loan; `asked_at` is when the request was sent to it."""
         row = self._rows[customer]
         row.tokens += loan.tokens
         if loan.permits:
-            # The lender counts from when it answered, which is later than the question.
+            # The lender's period starts with its reply, which is later than the request.
             until = asked_at + loan.seconds * (1 - CLOCK_DRIFT)
             row.borrowed = [*row.borrowed, PermitLoan(loan.permits, until)]
 
     def _permits(self, row, customer, index, count, now, needed_until):
-        """Return the permits usable for a request that ends by `needed_until`."""
+        """Return the number of permits usable by a request that ends by `needed_until`."""
         row.lent = [loan for loan in row.lent if loan.until > now]
         row.borrowed = [loan for loan in row.borrowed if loan.until > now]
         own = concurrency_share(customer.limits.concurrency, index, count)
@@ -155,7 +165,7 @@
         row = self._rows.get(customer.name)
         if row is None:
             row = self._rows[customer.name] = LimitRow(capacity, now)
-        # Borrowed tokens may lie above the capacity; they are kept, but nothing is added to them.
+        # Borrowed tokens may exceed the capacity. They are kept, but the bucket isn't refilled.
         refill = rate * (now - row.refilled_at)
         row.tokens = max(row.tokens, min(capacity, row.tokens + refill))
         row.refilled_at = now
--- a/traystall/systems/loads.py
+++ b/traystall/systems/loads.py
@@ -1,4 +1,4 @@
-"""Measure how much quick work a gateway has at each target, as a running average."""
+"""Measure a gateway's quick work at each target as an exponential average."""
 
 from traystall.tables.targets import TargetRow
 
@@ -7,7 +7,7 @@
 
 
 def fold_quick(row: TargetRow, now: float) -> None:
-    """Fold the quick work in flight now into its average, at most once a sample time."""
+    """Update the average of quick work in flight, at most once per sample period."""
     if now - row.quick_load_at < SAMPLE_SECONDS:
         return
     row.quick_load += _WEIGHT * (row.quick_in_flight - row.quick_load)
--- a/traystall/systems/membership.py
+++ b/traystall/systems/membership.py
@@ -1,8 +1,8 @@
-"""Join what several sources say of a target's presence, most cautiously.
+"""Merge reports from several sources about a target's presence, conservatively.
 
-Any source that says a target is leaving is believed at once and for that
-incarnation for good; a list that lags can't undo it. Only a new incarnation
-brings the target back.
+A report from any source that a target is leaving takes effect at once and is
+final for that incarnation; a list that lags behind can't revert it. Only a new
+incarnation makes the target live again.
 """
 
 import msgspec
@@ -12,17 +12,17 @@
 
 
 class PresenceReport(msgspec.Struct, frozen=True):
-    """Say what one source knows: `incarnation` may be empty if the source does not know it."""
+    """One source's report; `incarnation` is empty if the source doesn't know it."""
 
     target: str
     leaving: bool
     incarnation: str = ""
-    # A target's own word counts for its incarnation; a list's word may be old.
+    # Whether the target reported this itself; a list may be out of date.
     first_hand: bool = False
 
 
 def on_report(row: TargetRow, report: PresenceReport) -> bool:
-    """Take in a report; return whether the row changed."""
+    """Apply a report; return whether the row changed."""
     if report.leaving:
         return _on_leaving(row, report)
     return _on_live(row, report)
@@ -48,7 +48,7 @@
         return False
     known = bool(row.incarnation)
     if row.state is TargetState.LEAVING and not report.first_hand:
-        # A list that lags may still name an incarnation from before the leaving one.
+        # A list that lags behind may still contain an incarnation before the leaving one.
         return False
     row.incarnation = report.incarnation
     if known or row.state is TargetState.LEAVING:
--- a/traystall/systems/orders.py
+++ b/traystall/systems/orders.py
@@ -1,6 +1,6 @@
-"""Decide which orders to give to engines, from declared models and observed state.
+"""Plan the orders to engines from the declared models and the observed state.
 
-An order carries the absolute wanted state of one engine, so that repeating it
+An order contains the complete desired state of one engine, so that repeating it
 is harmless, and a fencing token (term, sequence) that only grows.
 """
 
@@ -12,14 +12,14 @@
 
 
 class Loaded(msgspec.Struct, frozen=True, order=True):
-    """Name one loaded model with its version."""
+    """Name and version of one loaded model."""
 
     name: str
     version: str
 
 
 class EngineState(msgspec.Struct, frozen=True):
-    """Hold what an engine said it holds; `ready` are the models it can serve now."""
+    """Models that an engine has reported; `ready` are those that it can serve now."""
 
     target: str
     ready: frozenset[Loaded] = frozenset()
@@ -27,7 +27,7 @@
 
 
 class Order(msgspec.Struct, frozen=True):
-    """Ask one engine to hold exactly `models`."""
+    """Instruct one engine to hold exactly `models`."""
 
     target: str
     models: tuple[Loaded, ...]
@@ -35,14 +35,14 @@
 
 
 class LoadBudget(msgspec.Struct):
-    """Pace loads from the weight store: a token bucket filled at `rate` a second."""
+    """Rate limit of loads from the weight store: a token bucket filled at `rate` a second."""
 
     rate: float
     tokens: float = 1.0
     filled_at: float = 0.0
 
     def take(self, now: float) -> bool:
-        """Take one load's token; return whether there was one."""
+        """Take the token of one load; return False if none is available."""
         self.tokens = min(1.0, self.tokens + self.rate * (now - self.filled_at))
         self.filled_at = now
         if self.tokens < 1.0:
@@ -58,10 +58,11 @@
     budget: LoadBudget,
     now: float,
 ) -> list[Order]:
-    """Return the next orders: load what is missing, then drop versions no longer declared.
+    """Return the next orders: load missing models, then unload undeclared versions.
 
-    A version is dropped in a data centre only once the declared one has its
-    replicas ready there, and at most one engine of a place changes at a time.
+    A version is unloaded in a data centre only after the declared version has
+    its replicas ready there. In each pool and data centre at most one engine
+    loads a model at a time.
     """
     orders = []
     groups = _by_pool_and_data_centre(targets)
@@ -90,7 +91,7 @@
     lacking = [state for state in known if wanted not in state.ready]
     if not lacking or not budget.take(now):
         return None
-    # Prefer the engine with least loaded, then by name, so that replicas spread.
+    # The engine with the fewest models, then the first by name, so that replicas spread.
     engine = min(lacking, key=lambda state: (len(state.ready), state.target))
     models = tuple(sorted({*engine.ready, wanted}))
     return Order(engine.target, models, f"load {model.name} {model.version}")
@@ -121,5 +122,5 @@
 
 
 def wait_before_orders(elected_at: float, lease: float, order_timeout: float) -> float:
-    """Return when a new leader may order targets that don't check fencing tokens."""
+    """Return when a new leader may send orders to targets that don't check fencing tokens."""
     return elected_at + lease + order_timeout
--- a/traystall/systems/owners.py
+++ b/traystall/systems/owners.py
@@ -1,17 +1,18 @@
-"""Divide the targets of a data centre over its gateways for asking after their state.
+"""Assign the state probes of a data centre's targets to its gateways.
 
-Few targets are asked by every gateway. Where there are many, each is asked by
-two gateways, and what they learn of leaving targets travels with their
-heartbeats: else asking would grow with targets times gateways.
+Up to a fixed number of targets, every gateway probes all of them. Beyond that,
+two gateways probe each target and announce leaving targets in their
+heartbeats. Otherwise the number of probes would grow with the product of
+targets and gateways.
 """
 
-# Up to this many targets in a data centre, every gateway asks all of them.
+# Up to this many targets in a data centre, every gateway probes all of them.
 MAX_TARGETS_PROBED_BY_ALL = 32
 PROBERS_PER_TARGET = 2
 
 
 def owned(targets: list[str], gateways: list[str], own: str) -> set[str]:
-    """Return the names of the targets that the gateway `own` asks."""
+    """Return the names of the targets that the gateway `own` probes."""
     if len(targets) <= MAX_TARGETS_PROBED_BY_ALL:
         return set(targets)
     names = sorted({*gateways, own})
--- a/traystall/systems/permits.py
+++ b/traystall/systems/permits.py
@@ -1,34 +1,34 @@
-"""Lend the requests that a target takes to the gateways, one by one. Pure; monotonic seconds.
+"""Grant permits for single requests to a rate-limited target. Pure; times are monotonic seconds.
 
-The lender deals out moments of sending at a steady distance, so that no span of time holds more
-than the target takes, whatever the gateways did before.
+The lender assigns send times at a constant interval, so that no period contains more requests
+than the target's limit, regardless of the gateways' earlier use.
 """
 
 import bisect
 
 import msgspec
 
-# The part of a limit that its first lender deals out. A target may count more than a request at a
-# time, such as the connection that it came on: twice as many still keep to what it takes.
+# The share of a limit that its first lender grants. A target may count a request's connection as
+# well, and twice this share still stays within the tolerance of 1.5 times the limit.
 FIRST_PART = 0.7
-# The part that the second lender deals out, for gateways that don't reach the first: both at once
-# stay within the limit.
+# The share that the second lender grants to gateways that can't reach the first. Both shares
+# together don't exceed the limit.
 SECOND_PART = 0.3
-# What was not lent for a while may be lent at once, but no more than that of so many seconds.
+# Unused capacity accumulates for up to this many seconds and may then be granted in a burst.
 _BURST_SECONDS = 0.1
-# Gateways that asked within so many seconds are taken to want more.
+# A gateway that requested a permit within this many seconds counts as an active requester.
 _REQUESTER_LIFETIME_SECONDS = 2.0
-# Lenders and their gateways ask so many times as often as there is something to lend.
+# The requesters together retry this many times for each permit that becomes available.
 _REQUESTS_PER_PERMIT = 2.0
-# A gateway that got nothing asks again after so many seconds at the latest.
+# Upper bound of the retry spread of a gateway without a permit.
 _MAX_SPREAD_SECONDS = 3.0
 
 
 class PermitGrant(msgspec.Struct, frozen=True):
-    """Hold an answer to a gateway that asks for a permit; all in seconds.
+    """The reply to a permit request; all times in seconds.
 
-    A permit may be used from `wait` on. Without one `wait` is when the next would be free, and
-    `spread` over how long those who ask should come back.
+    A granted permit is valid after `wait`. Without a grant, `wait` is the time until the next
+    permit and `spread` the period over which the requesters should spread their retries.
     """
 
     is_granted: bool
@@ -37,21 +37,21 @@
 
 
 class PermitSchedule(msgspec.Struct):
-    """Hold what was lent of one life of a target."""
+    """The permits that were granted for one incarnation of a target."""
 
-    # The last moment that was dealt out, and those that were given back unused.
+    # The last assigned send time, and the assigned times that were returned unused.
     last_send_at: float = float("-inf")
     returned_times: list[float] = []
-    lent: int = 0
+    granted_permits: int = 0
     requesters: dict[str, float] = {}
 
     def lend(
         self, per_second: float, requester: str, patience: float, is_spare: bool, now: float
     ) -> PermitGrant:
-        """Return a permit that may be used within `patience` seconds, or when there is one.
+        """Grant a permit that is valid within `patience` seconds, or return the time until one.
 
-        With `is_spare` it is for something that may as well be left out: only what nobody has
-        wanted for a while is given for it.
+        With `is_spare` the permit is for optional work, which only gets capacity that has been
+        unused for a while.
         """
         self._record_requester(requester, now)
         interval = 1.0 / per_second
@@ -65,16 +65,16 @@
             if send_at - now > patience:
                 return PermitGrant(False, send_at - now, self._spread(per_second))
             self.last_send_at = base
-        self.lent += 1
+        self.granted_permits += 1
         return PermitGrant(True, send_at - now)
 
     def give_back(self, send_at: float, now: float) -> None:
-        """Take back a permit for a moment that is still to come; one for the past is lost."""
-        # It seems a little later than it was lent by the time that its return took.
+        """Return an unused permit whose send time is in the future; an expired one is lost."""
+        # The send time is recomputed from the remaining time and is late by the message's delay.
         send_at = min(send_at, self.last_send_at)
         if send_at > now:
             bisect.insort(self.returned_times, send_at)
-            self.lent -= 1
+            self.granted_permits -= 1
 
     def _take_returned_time(self, patience, now):
         while self.returned_times and self.returned_times[0] < now:
--- a/traystall/systems/place.py
+++ b/traystall/systems/place.py
@@ -1,20 +1,20 @@
-"""Decide where a customer's requests and results may be."""
+"""Data residency: the data centres that a customer's requests and results may enter."""
 
 from traystall.tables.entities import Customer, Transit
 
 
 def is_allowed(customer: Customer, data_centre: str) -> bool:
-    """Return whether the customer's data may be in `data_centre`."""
+    """Return whether the customer's data may be stored or processed in `data_centre`."""
     return data_centre in customer.data_centres
 
 
 def may_relay(customer: Customer) -> bool:
-    """Return whether a gateway outside may pass the customer's bytes to one inside."""
+    """Return whether a gateway outside the customer's data centres may relay its requests."""
     return customer.transit is Transit.RELAY
 
 
 def relay_candidates(customer: Customer, gateways, own_identity: str, random) -> list:
-    """Return live gateways inside the customer's data centres, in random order."""
+    """Return the serving gateways in the customer's data centres, in random order."""
     inside = [
         row
         for row in gateways
@@ -29,7 +29,7 @@
 def holder_candidates(
     customer: Customer, gateways, own_identity: str, own_data_centre: str
 ) -> list:
-    """Return gateways that may keep a copy of a result, those in other data centres first."""
+    """Return gateways that may store a copy of a result, those in other data centres first."""
     inside = [
         row
         for row in gateways
--- a/traystall/systems/queues.py
+++ b/traystall/systems/queues.py
@@ -1,8 +1,7 @@
 """Order the work that waits at a gateway for a slot.
 
-Classes come first. Within a class, customers take turns by the service they
-have had, weighted by their share; within a customer the earliest deadline
-comes first.
+Work is sorted by priority class. Within a class, customers are served by
+weighted fair queueing; within a customer, the earliest deadline is first.
 """
 
 import msgspec
@@ -10,12 +9,12 @@
 from traystall.tables.entities import CLASS_RANK, Customer, PriorityClass, Stage
 
 WAIT_WEIGHT = 0.15
-# Work is held back once this many times the slots of the following stage wait for it.
+# Work is held back while this many requests per slot wait for the next stage.
 MAX_WAITING_PER_NEXT_SLOT = 2
 
 
 class Waiter(msgspec.Struct, eq=False):
-    """Hold one attempt that waits; `latest_start` and `deadline` are monotonic seconds."""
+    """A waiting attempt; `latest_start` and `deadline` are monotonic seconds."""
 
     request_id: str
     customer: Customer
@@ -25,24 +24,25 @@
     latest_start: float
     excluded: frozenset[str]
     since: float
-    # Typical seconds of the stage, 0 if unknown, and when it must end to leave the rest its time.
+    # Median seconds of the stage, 0 if unknown, and its latest end that leaves the following
+    # stages their time.
     typical: float = 0.0
     must_end_by: float = float("inf")
-    # Pool of the following stage, empty for the last one.
+    # Pool of the next stage, empty for the last one.
     next_pool: str = ""
     grant: object = None
-    # Whether it was granted as one of the first after a rest of its target.
+    # Whether it is one of the limited attempts sent after its target's backoff period.
     is_first: bool = False
 
 
 class WaitTimes:
-    """Remember how long work has lately waited for each pool, in seconds."""
+    """Running mean of the recent waiting time for each pool, in seconds."""
 
     def __init__(self):
         self._means: dict[str, float] = {}
 
     def record(self, pool: str, seconds: float) -> None:
-        """Fold one wait into the pool's running mean, whether it ended in a slot or not."""
+        """Update the pool's running mean with one wait, whether it ended with a slot or not."""
         mean = self._means.get(pool, 0.0)
         self._means[pool] = mean + WAIT_WEIGHT * (seconds - mean)
 
@@ -52,28 +52,28 @@
 
 
 class FairClock:
-    """Measure the service that customers have had, in shares."""
+    """Virtual service time of each customer for weighted fair queueing."""
 
     def __init__(self):
         self._served: dict[str, float] = {}
         self._floor = 0.0
 
     def served(self, customer: str) -> float:
-        """Return a customer's service; a newcomer starts at the floor, not at zero."""
+        """Return a customer's service; a new customer starts at the floor, not at zero."""
         return max(self._served.get(customer, 0.0), self._floor)
 
     def charge(self, customer: Customer) -> None:
-        """Count one start for the customer."""
+        """Add one started request to the customer's service, divided by its share."""
         before = self.served(customer.name)
         self._floor = max(self._floor, before - 1.0)
         self._served[customer.name] = before + 1.0 / customer.limits.share
 
 
 def is_held_back(waiter: Waiter, waiting_next: int, slots_next: int) -> bool:
-    """Return whether to hold work because the following stage already has enough waiting.
+    """Return whether to hold the attempt back because the next stage has a long queue.
 
-    Work that is started only to wait behind a slower stage is mostly wasted;
-    held back, it can still be refused as not run. Quick work is never held.
+    Work that is started ahead of a slower stage is mostly wasted. While it is
+    held back, it can still be refused as not run. Quick work is never held back.
     """
     if not waiter.next_pool or waiter.priority is PriorityClass.QUICK:
         return False
@@ -81,7 +81,7 @@
 
 
 def order(waiters: list[Waiter], clock: FairClock) -> list[Waiter]:
-    """Return the waiters in the order in which slots go to them."""
+    """Return the waiters in the order in which they receive slots."""
     return sorted(
         waiters,
         key=lambda waiter: (
--- a/traystall/systems/repair.py
+++ b/traystall/systems/repair.py
@@ -1,15 +1,17 @@
-"""Decide the next change of the control group, so that it mends itself.
+"""Decide the next membership change of the control group, which repairs itself.
 
-One change at a time, each by one voter at most. The rules, in their order:
+Changes are made one at a time, and each adds or removes at most one voter. The
+rules, in order:
 
-1. A member whose address now answers with another identity has lost its disk:
-   its old identity can never come back, so it goes.
-2. A newcomer that asks to join becomes a learner.
+1. A member whose address responds with another identity has lost its disk. Its
+   old identity can't return, so it is removed.
+2. A daemon that requests to join becomes a learner.
 3. A learner that has caught up becomes a voter.
-4. A silent voter goes if at least three others are in touch. It may join again.
+4. A silent voter is removed if at least three other voters respond. It may join
+   again.
 
-A silent voter is never removed merely because it is silent while the group has
-no more than three voters in touch: then nothing would be gained by it.
+A silent voter isn't removed while fewer than three voters respond, because the
+removal would not help the group.
 """
 
 import msgspec
@@ -18,15 +20,15 @@
 
 MIN_VOTERS = 3
 MAX_VOTERS = 7
-# A voter that has not answered its leader for this many seconds counts as silent.
+# A voter that hasn't replied to its leader for this many seconds counts as silent.
 SILENT_SECONDS = 1.5
 
 
 class GroupView(msgspec.Struct, frozen=True):
-    """Hold what a leader knows of its group.
+    """The leader's view of its group.
 
-    `joining` are daemons that asked to join lately; `silent` and `caught_up` are
-    identities of members.
+    `joining` are daemons that recently requested to join; `silent` and
+    `caught_up` are identities of members.
     """
 
     members: tuple[MemberRecord, ...]
--- a/traystall/systems/rests.py
+++ b/traystall/systems/rests.py
@@ -1,22 +1,23 @@
-"""Read what a target asks for by Retry-After. Pure."""
+"""Parse the backoff period that a target requests with Retry-After. Pure."""
 
 import math
 from collections.abc import Iterable
 from email.utils import parsedate_to_datetime
 
 RETRY_AFTER = "Retry-After"
-# Status of an answer by which a target turns a request away and may ask for rest.
+# Status of a response that rejects a request and may request a backoff period.
 TURNED_AWAY = 503
-# A longer rest is not honoured, in seconds. The longest event that the stated aim names lasts
-# minutes (regions that lose each other): an hour holds it, and bounds what a wrong figure costs.
+# Longer periods are capped. The longest event in the design goals, a network partition between
+# regions, lasts minutes; one hour covers it and limits the cost of a wrong value.
 MAX_BACKOFF_SECONDS = 3600.0
 
 
 def rest_seconds(values: Iterable[str], date: str | None = None) -> float:
-    """Return the rest that the values of Retry-After ask for, in seconds; 0 for none.
+    """Return the backoff period in seconds that the values of Retry-After request; 0 for none.
 
-    Of several the longest holds. A date counts from `date`, the answer's own, by the clock that
-    wrote both; without one it asks for nothing, like text, nan and what is not above 0.
+    The longest of several values applies. An HTTP date is relative to `date`, the response's Date
+    header, since the same clock wrote both. A date without it, text, nan and values not above 0
+    request nothing.
     """
     longest = max((_seconds(value.strip(), date) for value in values), default=0.0)
     return min(longest, MAX_BACKOFF_SECONDS)
--- a/traystall/systems/routing.py
+++ b/traystall/systems/routing.py
@@ -1,9 +1,10 @@
 """Choose the target of an attempt.
 
-The score of a target is (own work in flight + a small constant) times how
-long it takes compared with its pool. It scans all candidates and breaks ties
-at random. Reported load is late, so it never orders targets; it only keeps
-bulk work off a target that says it is full.
+The score of a target is this gateway's attempts in flight there plus a small
+constant, multiplied by the target's service time relative to its pool. All
+candidates are scanned and ties are broken at random. The load that targets
+report is out of date on arrival, so targets are never ranked by it; a target
+that refuses work as full only loses bulk work, by `traystall.systems.windows`.
 """
 
 import msgspec
@@ -15,16 +16,16 @@
 from traystall.tables.targets import TargetRow, TargetState
 
 IN_FLIGHT_OFFSET = 0.25
-# A target up to this much slower than its pool is not asked whether it can finish in time.
+# A target within this ratio of its pool's time isn't checked for whether it can finish in time.
 SLOW_RATIO = 1.5
-# Added for quick work on a target that keeps no slot for it, where it may wait for bulk work.
+# Penalty for quick work on a target without a reserved slot, where it may wait for bulk work.
 NO_RESERVED_SLOT_PENALTY = 1.0
-# Quick work may exceed a target's slots by this factor before it waits at the gateway.
+# Quick work may use this multiple of a target's slots before it waits at the gateway.
 QUICK_OVERCOMMIT = 2
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """Name the chosen row and why; `row` is None if no candidate can take work now."""
+    """The chosen row and the reason; `row` is None if no candidate accepts work now."""
 
     row: TargetRow | None
     why: str
@@ -32,7 +33,7 @@
 
 
 def candidates(rows, customer: Customer, stage: Stage, excluded, now: float) -> list[TargetRow]:
-    """Return the rows that may take the stage at all, busy or not."""
+    """Return the rows that may run the stage, including those without a free slot."""
     places = customer.data_centres
     found = []
     for row in rows:
@@ -45,12 +46,12 @@
 
 
 def holds_model(row: TargetRow, stage: Stage) -> bool:
-    """Return whether the target holds the stage's model, or has not said what it holds."""
+    """Return whether the target holds the stage's model; true if its models are unknown."""
     return not stage.model or not row.models or stage.model in row.models
 
 
 def has_room(row: TargetRow, priority: PriorityClass, now: float) -> bool:
-    """Return whether this gateway may put one more attempt of the class on the target."""
+    """Return whether this gateway may send one more attempt of the class to the target."""
     if not row.asked.may_get_work(now) or row.limit.is_closed(now):
         return False
     if priority is PriorityClass.QUICK:
@@ -67,14 +68,14 @@
 
 
 def can_finish(row: TargetRow, waiter: Waiter, now: float) -> bool:
-    """Return whether the target is fast enough for what is left of the request's time."""
+    """Return whether the target is fast enough for the request's remaining time."""
     if row.service_ratio <= SLOW_RATIO:
         return True
     return now + waiter.typical * row.service_ratio <= waiter.must_end_by
 
 
 def choose(found: list[TargetRow], waiter: Waiter, now: float, random) -> Choice:
-    """Return the best of the candidates that have room and are fast enough."""
+    """Return the candidate with the lowest score among those with capacity and enough speed."""
     priority = waiter.priority
     best: list[TargetRow] = []
     best_score = float("inf")
--- a/traystall/systems/shares.py
+++ b/traystall/systems/shares.py
@@ -1,10 +1,10 @@
-"""Divide a pool's slots for bulk work over the live gateways, and keep some for quick work.
+"""Divide a pool's slots for bulk work over the live gateways, and reserve some for quick work.
 
-The slots are dealt out in turn, so that the parts of all gateways sum to the
-slots; a gateway that would get nothing gets one slot on one target. How many
-targets keep a slot free for quick work follows from how much quick work there
-is; where a pipeline of quick work is declared, at least one does in each data
-centre.
+Slots are assigned round-robin, so that the shares of all gateways sum to the
+slots; a gateway without any gets one slot on one target. The number of targets
+that reserve a slot for quick work follows from the measured amount of quick
+work. If a declared pipeline sends quick work to the pool, at least one target
+in each data centre reserves a slot.
 """
 
 import math
@@ -13,25 +13,26 @@
 
 from traystall.tables.entities import Target
 
-# Slots kept for quick work, as a multiple of what quick work uses on average.
+# Slots reserved for quick work, as a multiple of its average use.
 QUICK_MARGIN = 2.0
+# Average use below which quick work is ignored.
 NEGLIGIBLE_SLOTS = 0.01
 
 
 class Share(msgspec.Struct, frozen=True):
-    """Hold a gateway's part of one target; `kept` says that a slot there is kept for quick."""
+    """A gateway's share of one target; `kept` is whether the target reserves a quick slot."""
 
     bulk: int
     kept: bool
 
 
 def kept_targets(targets: list[Target], has_quick_work: bool, quick_slots: float) -> frozenset[str]:
-    """Return the names of the targets that keep one slot for quick work.
+    """Return the names of the targets that reserve one slot for quick work.
 
-    `has_quick_work` says that a declared pipeline sends quick work to the pool,
-    `quick_slots` how many slots it uses on average over the whole pool. The
-    number kept moves in powers of two, so that gateways whose measurements
-    differ a little agree.
+    `has_quick_work` is whether a declared pipeline sends quick work to the
+    pool, `quick_slots` the average number of slots that quick work uses in the
+    whole pool. The number of reserved slots is rounded up to a power of two, so
+    that gateways with slightly different measurements agree.
     """
     if not has_quick_work and quick_slots < NEGLIGIBLE_SLOTS:
         return frozenset()
@@ -61,7 +62,7 @@
 
 
 def _spread(targets):
-    """Return targets so that each data centre comes once before any comes twice."""
+    """Return the targets in an order that alternates between the data centres."""
     seen: dict[str, int] = {}
     ranked = []
     for target in sorted(targets, key=lambda target: target.name):
--- a/traystall/systems/speeds.py
+++ b/traystall/systems/speeds.py
@@ -1,39 +1,39 @@
-"""Learn how long a target takes compared with others that run the same stage."""
+"""Estimate each target's service time relative to its pool, as an exponential average."""
 
 from traystall.tables.targets import TargetRow
 
 _WEIGHT = 0.4
-# An attempt that is overdue says more than one that ended: it may take much longer still.
+# An overdue attempt has a greater weight than a completed one: its final time may be far longer.
 _OVERDUE_WEIGHT = 0.8
 _MIN_RATIO = 0.25
 _MAX_RATIO = 20.0
-# A slow target that gets no work is believed to recover by half in this time.
+# The excess ratio of a slow target without work is halved once in this time.
 RECOVERY_SECONDS = 10.0
-# Less than this is no news: any attempt may take a little longer than usual.
+# Overdue attempts below this ratio are ignored as normal variation.
 OVERDUE_RATIO = 1.5
-# A target silent for this many typical times counts as failed.
+# A target that sends no response for this many typical times counts as failed.
 FAILED_RATIO = 3.0
 
 
 def on_time(row: TargetRow, seconds: float, typical: float | None, now: float) -> None:
-    """Take in one observed time, given the typical one of the same stage."""
+    """Update the ratio with a completed attempt; `typical` is the stage's median time."""
     if typical:
         _update_ratio(row, seconds / typical, _WEIGHT, now)
 
 
 def on_overdue(row: TargetRow, elapsed: float, typical: float | None, now: float) -> None:
-    """Take in that an attempt has taken `elapsed` and is not done: a lower bound only."""
+    """Update the ratio with an attempt still running after `elapsed` seconds, a lower bound."""
     if typical and elapsed / typical > max(row.service_ratio, OVERDUE_RATIO):
         _update_ratio(row, elapsed / typical, _OVERDUE_WEIGHT, now)
 
 
 def is_usual(elapsed: float, typical: float | None) -> bool:
-    """Return whether a target that has not answered yet may still be quite well."""
+    """Return whether the elapsed time is still within the range of a healthy target."""
     return typical is not None and elapsed <= typical * FAILED_RATIO
 
 
 def decay(row: TargetRow, now: float) -> None:
-    """Let the ratio of an unused slow target drift back, so that it is tried again."""
+    """Lower the ratio of an unused slow target, so that it receives work again."""
     if row.service_ratio > 1.0 and now - row.ratio_at > RECOVERY_SECONDS:
         row.service_ratio = 1.0 + (row.service_ratio - 1.0) / 2
         row.ratio_at = now
--- a/traystall/systems/target_limits.py
+++ b/traystall/systems/target_limits.py
@@ -1,19 +1,18 @@
-"""Read the limit that a target names for all gateways together. Pure."""
+"""Parse the rate limit that a target announces for all gateways together. Pure."""
 
 import math
 from collections.abc import Iterable
 
 import msgspec
 
-# The header of targets that speak traystall's own form.
+# Header of targets that use traystall's own dialect.
 LIMIT = "Traystall-Limit"
-# A target whose limit is lower gets so many requests a second all the same: only an answer can tell
-# that it takes more again.
+# Lower limits are raised to this rate: only a response can announce that the limit has risen.
 MIN_PER_SECOND = 0.1
 
 
 class LimitWord(msgspec.Struct, frozen=True):
-    """Hold what an answer says: how many requests a second, or any number (None)."""
+    """The limit that a response announces, in requests a second; None means no limit."""
 
     per_second: float | None
 
@@ -22,10 +21,10 @@
 
 
 def read_limit(values: Iterable[str]) -> LimitWord | None:
-    """Return what the values of an answer's header say, or None if they can't be read.
+    """Return the limit in the values of a response's header, or None if they are invalid.
 
-    No value and `inf` say that any number is taken. Of several values the lowest holds. What is
-    negative, nan, empty, text or written with a comma says nothing: what was known stays.
+    No value and `inf` mean no limit. The lowest of several values applies. Negative numbers, nan,
+    empty values, text and numbers with a comma are invalid, and the known limit stays.
     """
     found = list(values)
     if not found:
--- a/traystall/systems/windows.py
+++ b/traystall/systems/windows.py
@@ -1,19 +1,20 @@
-"""Let a gateway's bulk work exceed its share of a target while the target keeps up.
-
-Shares assume that all gateways have work alike. Where one has more, it may go
-beyond its share as long as answers take hardly longer than the fastest ones,
-which shows that nothing queues at the target; it steps back once they do. In
-pools with quick work the shares stand: measured there, the excess cost quick
-work more than it gave the rest (docs/design/attainment.md).
+"""Let a gateway's bulk work exceed its share of a target while the target has no queue.
+
+Shares assume that all gateways have an equal load. A gateway with more work may
+exceed its share while response times stay close to the fastest ones, which
+shows that the target has no queue, and backs off once they grow. The excess
+grows additively and shrinks by a factor, as in TCP congestion control. In pools
+with quick work the shares are fixed: measurements there showed that the excess
+cost quick work more than other work gained (docs/design/attainment.md).
 """
 
 from traystall.tables.targets import TargetRow
 
-# Answers within this multiple of the fastest ones show that the target has room.
+# Response times within this multiple of the fastest ones show that the target has no queue.
 IDLE_RATIO = 1.1
-# Answers beyond this multiple show a queue at the target.
+# Response times beyond this multiple show a queue at the target.
 QUEUE_RATIO = 1.25
-# What is left of the excess after an answer that shows a queue.
+# Fraction of the excess that remains after a response that shows a queue.
 EXCESS_DECREASE_FACTOR = 0.5
 
 
@@ -23,10 +24,10 @@
 
 
 def on_time(row: TargetRow, seconds: float, least: float | None, was_limited: bool) -> None:
-    """Take in one answer's time; `least` is the fastest usual time of the same stage."""
+    """Adjust the excess to one response time; `least` is the stage's optimistic time."""
     if not least or not row.may_exceed_share:
         return
-    # A target that is slow in itself is judged by its own pace, not by its pool's.
+    # A slow target is compared with its own usual time, not with that of its pool.
     ratio = seconds / (least * max(1.0, row.service_ratio))
     if ratio > QUEUE_RATIO:
         on_queue(row)
@@ -37,10 +38,10 @@
 
 
 def on_queue(row: TargetRow) -> None:
-    """Step back from a target at which work queues."""
+    """Reduce the excess at a target with a queue."""
     row.excess_slots *= EXCESS_DECREASE_FACTOR
 
 
 def on_failure(row: TargetRow) -> None:
-    """Give up what exceeds the share after a failure."""
+    """Reset the excess after a failure."""
     row.excess_slots = 0.0
