--- a/traystall/permits/exceptions.py
+++ b/traystall/permits/exceptions.py
@@ -4,8 +4,8 @@
 
 
 class PermitDenied(GatewayError):
-    """Report that others have what a target takes; `wait` is when more is free, in seconds."""
+    """Report that no permit is available; `wait` is the time in seconds until the next one."""
 
     def __init__(self, wait: float):
         self.wait = wait
-        super().__init__(f"Others have what the target takes for {wait:.2f} s.")
+        super().__init__(f"No permit for the target is available for {wait:.2f} s.")
--- a/traystall/permits/news.py
+++ b/traystall/permits/news.py
@@ -1,4 +1,8 @@
-"""Tell all gateways what targets take, and who lends it what this gateway has heard."""
+"""Distribute the rate limits of targets to all gateways.
+
+A gateway reports a change that it observed to the target's lenders, and the first lender sends it
+to every gateway.
+"""
 
 import asyncio
 import logging
@@ -10,33 +14,33 @@
 from traystall.rpc.gen.wire.ttypes import LimitNews
 from traystall.tables.gateways import GatewayRow
 
-# So often is looked for something to tell, in seconds: all know a limit within two turns.
+# Interval of the distribution: every gateway knows a limit after two intervals.
 _INTERVAL_SECONDS = 0.2
-# A gateway that could not be told is told again after so many seconds.
+# Delay before limits are sent again to a gateway that was unreachable.
 _RETRY_SECONDS = 1.0
-# What changes by less than this factor is told by those who ask for permits only.
+# A smaller relative change isn't sent; gateways learn it with their next permit reply.
 _PUBLISHED_FACTOR = 2.0
 
 logger = logging.getLogger(__name__)
 
 
 class LimitTeller:
-    """Tell what is known of limits: the first lender tells every gateway, others the lenders."""
+    """Send known limits: the first lender to every gateway, other gateways to the lenders."""
 
     def __init__(self, permits: Permits, links: LinkPool, rows, data_centre_of, lives):
-        """Use `data_centre_of(life)` for where a target is, and `lives()` for those known."""
+        """Use `data_centre_of(life)` to locate a target and `lives()` for the known ones."""
         self._permits = permits
         self._links = links
         self._rows = rows
         self._data_centre_of = data_centre_of
         self._lives = lives
-        # What each gateway was told last, and when one that could not be reached is told again.
+        # The limits last sent to each gateway, and when to retry one that was unreachable.
         self._sent: dict[str, dict[str, float | None]] = {}
         self._retry_at: dict[str, float] = {}
         self._tasks: set[asyncio.Task] = set()
 
     async def tell_forever(self) -> None:
-        """Look again and again, and note who serves."""
+        """Distribute limits at a fixed interval and update the lenders."""
         try:
             while True:
                 await asyncio.sleep(_INTERVAL_SECONDS)
@@ -46,7 +50,7 @@
                 task.cancel()
 
     def review(self) -> None:
-        """Tell what is new to whom it is new."""
+        """Update the lenders and send changed limits to the gateways that need them."""
         rows = [row for row in self._rows() if row.lends]
         now = clock.monotonic()
         self._permits.note_serving()
@@ -65,7 +69,7 @@
                 self._spawn(self._send_limits(row, found))
 
     def _pending_updates(self, limits) -> dict[str, list[str]]:
-        """Return for each gateway the lives of which it should be told something."""
+        """Return the target incarnations whose limits each gateway should receive."""
         own = self._permits.identity
         found: dict[str, list[str]] = {}
         heard, self._permits.heard = self._permits.heard, set()
@@ -92,7 +96,7 @@
         try:
             await self._links.link(row.rpc_address).send(message)
         except RpcError as error:
-            logger.info("limits not told", extra={"peer": row.identity, "why": str(error)})
+            logger.info("limits not sent", extra={"peer": row.identity, "why": str(error)})
             self._permits.heard.update(lives)
             return
         self._retry_at.pop(row.identity, None)
--- a/traystall/permits/permits.py
+++ b/traystall/permits/permits.py
@@ -1,4 +1,4 @@
-"""Take permits for requests to targets that name a limit, and lend them where this gateway does."""
+"""Acquire permits for requests to rate-limited targets, and grant them where this gateway lends."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -23,29 +23,29 @@
 from traystall.tables.gateways import GatewayRow
 from traystall.tables.target_limits import TargetLimit
 
-# An answer that takes longer, in seconds, costs a request more than another target does.
+# Timeout of a permit request. A longer wait costs a request more than the use of another target.
 _REQUEST_TIMEOUT_SECONDS = 0.06
-# A lender that did not answer is left out so long, in seconds, and a target whose lenders both
-# don't is not asked for.
+# Backoff after a lender didn't reply, and for a target of which no lender replies.
 _LENDER_BACKOFF_SECONDS = 1.0
 _NO_LENDER_BACKOFF_SECONDS = 0.3
-# A permit may be used for so long, in seconds: a connection has to come up meanwhile.
+# Validity of a permit: long enough to open a connection.
 _PERMIT_VALIDITY_SECONDS = 0.25
-# Those who ask again are spread between these parts of what the lender says.
+# Retries are spread uniformly between these multiples of the lender's spread.
 _RETRY_SPREAD = (0.5, 1.5)
-# A log line tells when a limit begins, ends or changes by this factor.
+# A change of a limit by less than this factor isn't logged.
 _LOGGED_FACTOR = 2.0
-# A limit that falls by more than this factor voids what was lent under the higher one.
+# A limit that falls by more than this factor invalidates permits granted under the higher limit.
 _VOID_FACTOR = 1.5
-# What is known of a target that this gateway doesn't know is kept so long, in seconds: it may be
-# told of a limit before it is told of the target.
+# The limit of an unknown target is kept this long, because a gateway may learn of a limit before it
+# learns of the target.
 _UNKNOWN_RETENTION_SECONDS = 10.0
 
 
 class Permit(msgspec.Struct, frozen=True):
-    """Allow one request to one life of a target, sent between two moments (monotonic seconds).
+    """Allow one request to one incarnation of a target within a period in monotonic seconds.
 
-    `per_second` is the limit under which it was lent; a much lower one that is heard voids it.
+    `per_second` is the limit under which the permit was granted. A much lower limit that becomes
+    known later invalidates it.
     """
 
     life: str
@@ -56,10 +56,11 @@
 
 
 class Permits:
-    """Hold what targets take from all gateways together, and ask for it or lend it.
+    """Store the rate limits of targets, acquire permits from the lenders, and grant them.
 
-    `rows()` returns the directory of gateways. Without `links` only what this gateway lends itself
-    can be had. `may_lend` is unset when it is about to stop.
+    A target's incarnation is identified by `life`. `rows()` returns the directory of gateways.
+    Without `links`, only the permits that this gateway grants itself are available. `may_lend` is
+    unset while the gateway stops.
     """
 
     def __init__(
@@ -76,40 +77,40 @@
         self._rows = rows
         self._random = random
         self._limits: dict[str, TargetLimit] = {}
-        # Of these the ones that have ever named a limit, and since when a life is not known here.
+        # The subset that has ever had a limit, and since when an incarnation has been unknown here.
         self._announced: dict[str, TargetLimit] = {}
         self._unknown_since: dict[str, float] = {}
         self._schedules: dict[str, PermitSchedule] = {}
         self._lender_retry_at: dict[str, float] = {}
         self._tasks: set[asyncio.Task] = set()
-        # Lives of which this gateway has heard something new by itself, until that is passed on.
+        # Incarnations whose limit changed in a response to this gateway and isn't distributed yet.
         self.heard: set[str] = set()
 
-    # ---- what is known ----
+    # ---- known limits ----
 
     def limit(self, life: str) -> TargetLimit:
-        """Return what is known of one life of a target; the same object each time."""
+        """Return the limit of one incarnation of a target; always the same object."""
         return self._limits.setdefault(life, TargetLimit())
 
     def adopt(self, life: str, limit: TargetLimit | None) -> TargetLimit:
-        """Return what is known of a life that is new here; `limit` if it has said that itself.
+        """Return the limit of a new incarnation, with `limit` if the incarnation announced it.
 
-        A life may be known late, after its first answers have come.
+        An incarnation may become known only after its first responses.
         """
         if limit is not None and limit.is_limited:
             self._limits[life] = self._announced[life] = msgspec.structs.replace(limit)
         return self.limit(life)
 
     def limits(self) -> dict[str, TargetLimit]:
-        """Return what is known of those that have ever named a limit, by the names of lives."""
+        """Return the limits of all incarnations that have ever announced one, by incarnation."""
         return self._announced
 
     def lent(self, life: str) -> int:
-        """Return how many requests to a life of a target were lent here."""
+        """Return the number of permits granted here for one incarnation of a target."""
         return self._schedules[life].granted_permits if life in self._schedules else 0
 
     def hear(self, life: str, announced: LimitWord, sent_at: float, request: str) -> None:
-        """Take in what an answer says to a request that was sent at `sent_at`."""
+        """Apply the limit in a response to a request that was sent at `sent_at`."""
         limit = self.limit(life)
         before = limit.per_second
         if announced.per_second is None:
@@ -123,12 +124,12 @@
             self.heard.add(life)
 
     def take_news(self, news: LimitNews) -> None:
-        """Take in what another gateway knows."""
+        """Merge the limits that another gateway sent."""
         for record in news.limits or ():
             self._merge_record(record, news.sender or "")
 
     def retain(self, lives: set[str]) -> None:
-        """Forget lives of targets that have been gone for a while."""
+        """Remove incarnations that are not in `lives` and have been unknown for some time."""
         now = clock.monotonic()
         unknown = self._limits.keys() - lives
         self._unknown_since = {life: self._unknown_since.get(life, now) for life in unknown}
@@ -139,7 +140,7 @@
                     held.pop(life, None)
 
     def record(self, life: str) -> TargetLimitRecord:
-        """Return what is known of a life, to be told."""
+        """Return the limit of an incarnation as a record for another gateway."""
         limit = self.limit(life)
         said_at = limit.sent_at if limit.is_limited else limit.ended_at
         age = clock.monotonic() - said_at
@@ -166,19 +167,19 @@
         )
 
     def note_serving(self) -> None:
-        """Note who serves now: of these two lend."""
+        """Update the lenders from the current directory of gateways."""
         self.ranks.note(self._rows(), clock.monotonic())
 
-    # ---- asking ----
+    # ---- acquiring permits ----
 
     async def take(
         self, life: str, data_centre: str, patience: float = 0.0, is_spare: bool = False
     ) -> Permit:
-        """Return a permit to send one request, for a moment within `patience` seconds.
+        """Return a permit to send one request at a time within `patience` seconds.
 
-        A promise to a target binds all gateways together, so one of them deals it out: a part for
-        each would be 195 requests at once after a quiet spell. Raise PermitDenied if others have
-        what the target takes until then, or nobody can be asked.
+        The limit holds for all gateways together, so a single lender grants the permits. With a
+        separate share for each gateway, 195 gateways could send 195 requests at once after an idle
+        period. Raise PermitDenied if no permit is available in time or no lender replies.
         """
         limit = self.limit(life)
         now = clock.monotonic()
@@ -205,7 +206,7 @@
         raise PermitDenied(_NO_LENDER_BACKOFF_SECONDS)
 
     def give_back(self, permit: Permit) -> None:
-        """Return a permit that was not used: somebody else may have its moment."""
+        """Return an unused permit to its lender, so that another gateway can use its send time."""
         left = permit.valid_from - clock.monotonic()
         if left <= 0:
             return
@@ -218,7 +219,7 @@
                 self._spawn(self._send(address, message))
 
     def covers(self, life: str, permit: Permit | None) -> bool:
-        """Return whether a request may be sent now by what the target takes."""
+        """Return whether the target's limit allows a request now with this permit."""
         limit = self.limit(life)
         if not limit.is_limited:
             return True
@@ -242,17 +243,17 @@
             return None
 
     def _permit_from(self, limit, lender, reply, asked_at) -> Permit:
-        """Return the permit of a reply; its time runs from when it was asked for."""
+        """Return the permit of a reply; its validity is relative to the time of the request."""
         known = reply.known
         valid_from = asked_at + reply.wait
-        # A lender that knows of no limit any more has heard a later word.
+        # A lender without a limit has more recent information than this gateway.
         per_second = known.per_second or limit.per_second or 0.0
         return Permit(
             known.life, lender, per_second, valid_from, valid_from + _PERMIT_VALIDITY_SECONDS
         )
 
     def _defer_requests(self, limit, reply, patience, is_spare):
-        """Ask for a target again when something may be lent, spread among those who want it."""
+        """Defer further permit requests until one may be available, with a random spread."""
         spread = self._random.uniform(*_RETRY_SPREAD) * (reply.spread or 0.0)
         self._defer_requests_for(limit, max(reply.wait - patience, spread), is_spare)
 
@@ -266,10 +267,10 @@
     def _address(self, identity) -> str:
         return next((r.rpc_address for r in self._rows() if r.identity == identity), "")
 
-    # ---- lending ----
+    # ---- granting permits ----
 
     def lend(self, request: PermitRequest) -> PermitReply:
-        """Answer a gateway that asks for a permit."""
+        """Handle a permit request of another gateway or of this one."""
         now = clock.monotonic()
         life = request.known.life
         self._merge_record(request.known, request.sender)
@@ -295,14 +296,14 @@
         )
 
     def take_back(self, message: PermitReturn) -> None:
-        """Take back a permit that somebody did not use."""
+        """Handle the return of an unused permit."""
         schedule = self._schedules.get(message.life)
         if schedule is not None:
             now = clock.monotonic()
             schedule.give_back(now + (message.left or 0.0), now)
 
     def close(self) -> None:
-        """End what is under way."""
+        """Cancel the messages in progress."""
         for task in self._tasks:
             task.cancel()
 
--- a/traystall/permits/ranks.py
+++ b/traystall/permits/ranks.py
@@ -1,8 +1,9 @@
-"""Which gateways lend the requests that a target takes. Pure; times are monotonic seconds.
+"""Select the gateways that grant a target's permits. Pure; times are monotonic seconds.
 
-All gateways rank the same two for a target without talking, near it if there are any, so that a
-data centre that is cut off goes on by itself. Views of the membership differ for a while, so a
-gateway lends only what it was ranked for all that while: at no time do two lend the whole.
+Rendezvous hashing gives all gateways the same two lenders for a target without communication. They
+are in the target's data centre if it has gateways, so that a partitioned data centre continues by
+itself. Views of the membership differ for some time, so a gateway grants only the share that it
+held in all its views during that time. Two gateways never grant the full limit at once.
 """
 
 from collections.abc import Iterable
@@ -13,14 +14,14 @@
 from traystall.systems.rendezvous import rendezvous_order
 from traystall.tables.gateways import GatewayRow
 
-# Views of who serves differ no longer than this, in seconds: control daemons tell each other and
-# their gateways within two, and a gateway that stops lends nothing from then on.
+# Upper bound of the time in which views of the membership differ: control daemons notify each other
+# and their gateways within two seconds, and a gateway that stops grants no more permits.
 SETTLE_SECONDS = 5.0
 _LENDER_COUNT = 2
 
 
 class _MembershipView(msgspec.Struct):
-    """Hold who could lend from a moment on: name and data centre of each."""
+    """The possible lenders since a time, as pairs of name and data centre."""
 
     since: float
     members: tuple[tuple[str, str], ...]
@@ -37,7 +38,7 @@
 
 
 class LenderRanks:
-    """Rank the gateways, and tell what this one may lend."""
+    """Rank the gateways, and compute the share of a limit that this one may grant."""
 
     def __init__(self, own: str, settle_seconds: float = SETTLE_SECONDS):
         self._own = own
@@ -45,7 +46,7 @@
         self._views: list[_MembershipView] = []
 
     def note(self, rows: Iterable[GatewayRow], now: float) -> None:
-        """Take in who serves now; without any directory this gateway is on its own."""
+        """Update the membership; with an empty directory this gateway is the only member."""
         rows = list(rows)
         able = [row for row in rows if row.state == "serving" and row.lends]
         members = tuple(sorted((row.identity, row.data_centre) for row in able))
@@ -56,13 +57,13 @@
         self._forget(now)
 
     def lenders(self, life: str, data_centre: str) -> list[str]:
-        """Return the names of the two that lend, the first one first."""
+        """Return the names of the two lenders in the order of their rank."""
         return self._views[-1].order(life, data_centre) if self._views else []
 
     def part(self, life: str, data_centre: str, now: float) -> float:
-        """Return the part of the limit that this gateway may lend now.
+        """Return the share of the limit that this gateway may grant now.
 
-        What it was ranked for in every view since `settle_seconds` ago counts.
+        It is the share that its rank gave it in every view of the last `settle_seconds`.
         """
         self._forget(now)
         if not self._views or self._views[0].since > now - self._settle_seconds:
@@ -73,6 +74,6 @@
         return SECOND_PART if all(self._own in order for order in orders) else 0.0
 
     def _forget(self, now):
-        """Forget views that another one has replaced so long ago that they don't count."""
+        """Remove views that were replaced before the last `settle_seconds`."""
         while len(self._views) > 1 and self._views[1].since <= now - self._settle_seconds:
             self._views.pop(0)
--- a/traystall/systems/estimates.py
+++ b/traystall/systems/estimates.py
@@ -43,7 +43,7 @@
         if count < MIN_SAMPLES:
             return None
         cached = self._cached.get(fraction)
-        # A quantile scans the whole histogram, so it is recomputed only once 5 in 100 samples are new.
+        # A quantile scans the whole histogram: recompute it once 5 in 100 samples are new.
         if cached is not None and count < cached[0] * 1.05:
             return cached[1]
         value = self._compute(fraction)
--- a/traystall/tables/__init__.py
+++ b/traystall/tables/__init__.py
@@ -1,1 +1,1 @@
-"""Entities in typed tables; a table knows nothing of the systems that use it."""
+"""Typed tables of entities and their state; tables don't depend on the systems that use them."""
--- a/traystall/tables/changes.py
+++ b/traystall/tables/changes.py
@@ -1,32 +1,32 @@
-"""Remember at which version each identity last changed, or was dropped, to tell what is new."""
+"""Change log: the version at which each identity was last changed or dropped."""
 
-# So many drops are remembered; whoever is further behind is told everything. It is more than twice
-# the gateways of the largest site, so that all of them may be replaced between two watches, and
-# takes some 100 KB.
+# Number of remembered drops; a subscriber that is further behind receives a full copy. It is more
+# than twice the gateways of the largest site, so that all of them can be replaced between two
+# watches, and takes about 100 KB.
 REMEMBERED_DROPS = 1024
 
 
 class ChangeLog:
-    """Count versions; `version` grows by one with every change and every drop."""
+    """Log of changed and dropped identities; each of them increases `version` by one."""
 
     def __init__(self, remembered_drops: int = REMEMBERED_DROPS):
         self.version = 1
         self._remembered_drops = remembered_drops
-        # What is known since before this version can't be brought up to date.
+        # Subscribers at an older version can't be updated by changes alone.
         self._floor = self.version
-        # Both are in the order of their versions, the oldest first.
+        # Both are sorted by version, oldest first.
         self._changed: dict[str, int] = {}
         self._dropped: dict[str, int] = {}
 
     def change(self, identity: str) -> None:
-        """Note that an identity is new or has changed."""
+        """Record that an identity was added or changed."""
         self._dropped.pop(identity, None)
         self._changed.pop(identity, None)
         self.version += 1
         self._changed[identity] = self.version
 
     def drop(self, identity: str) -> None:
-        """Note that an identity is no longer held."""
+        """Record that an identity was removed."""
         self._changed.pop(identity, None)
         self._dropped.pop(identity, None)
         self.version += 1
@@ -36,14 +36,14 @@
             self._floor = self._dropped.pop(oldest)
 
     def since(self, version: int) -> tuple[list[str], list[str]] | None:
-        """Return the identities changed and dropped after `version`; None if that isn't known."""
+        """Return the identities changed and dropped after `version`; None if it is out of range."""
         if not self._floor <= version <= self.version:
             return None
         return _after(self._changed, version), _after(self._dropped, version)
 
 
 def _after(versions, version):
-    """Return the newest keys, without a look at the many that are older."""
+    """Return the keys after `version`, newest first, without a scan of the older ones."""
     found = []
     for identity, at in reversed(versions.items()):
         if at <= version:
--- a/traystall/tables/configuration.py
+++ b/traystall/tables/configuration.py
@@ -1,4 +1,4 @@
-"""The declared entities of one revision, as tables with the indexes that systems need."""
+"""The declared entities of one revision, as tables with indexes."""
 
 from collections import defaultdict
 
@@ -15,7 +15,7 @@
 
 
 class ConfigurationTables:
-    """Hold typed rows by name; rows are decoded on first use and kept."""
+    """Typed rows by kind and name; each row is decoded on first use and cached."""
 
     def __init__(self, number: int = 0, encoded: dict[str, bytes] | None = None):
         self.number = number
@@ -36,7 +36,7 @@
         return self._row("target", name)
 
     def order_policy(self) -> OrderPolicy:
-        """Return the declared pacing of orders, or the default one."""
+        """Return the declared order policy, or the default one."""
         return self._row("order_policy", "orders") or OrderPolicy()
 
     def targets(self) -> list[Target]:
@@ -62,7 +62,7 @@
         return self._pools.get(name, [])
 
     def updated(self, number: int, encoded: dict[str, bytes], changed) -> "ConfigurationTables":
-        """Return the tables of a newer revision, keeping decoded rows that did not change."""
+        """Return the tables of a newer revision, with the decoded rows that are unchanged."""
         tables = ConfigurationTables(number, encoded)
         changed = set(changed)
         tables._rows = {key: row for key, row in self._rows.items() if key not in changed}
--- a/traystall/tables/gateways.py
+++ b/traystall/tables/gateways.py
@@ -1,4 +1,4 @@
-"""The directory of gateways: who serves where, with which revision, seen how long ago."""
+"""The directory of gateways: their addresses, data centres, revisions and last heartbeats."""
 
 import zlib
 from collections.abc import Iterable
@@ -7,12 +7,12 @@
 
 from traystall.tables.changes import REMEMBERED_DROPS, ChangeLog
 
-# A gateway not seen for this many seconds is no longer counted as live.
+# A gateway without a heartbeat for this many seconds is removed.
 GATEWAY_LIFETIME = 5.0
 
 
 class GatewayRow(msgspec.Struct):
-    """Describe one running gateway; `seen_at` is monotonic seconds of this process."""
+    """One running gateway; `seen_at` is monotonic seconds of this process."""
 
     identity: str
     instance: str
@@ -23,33 +23,33 @@
     state: str
     seen_at: float
     direct: bool
-    # Targets that it knows to be leaving, as name@incarnation.
+    # Targets that the gateway knows to be leaving, as name@incarnation.
     leaving: tuple[str, ...] = ()
-    # When it started, in monotonic seconds of this process.
+    # Start time in monotonic seconds of this process.
     started_at: float = float("-inf")
-    # The version of the evacuations that it obeys.
+    # The version of the evacuations that the gateway applies.
     evacuation_version: int = 0
-    # Whether it knows permits of limited targets.
+    # Whether the gateway supports permits of limited targets.
     lends: bool = False
-    # How much it can do beside others, in whatever unit all use; 0 where it doesn't say.
+    # Relative capacity in a unit common to all gateways; 0 if not reported.
     size: float = 0.0
 
 
 class DirectoryDelta(msgspec.Struct, frozen=True):
-    """Hold the rows that changed since a version, and the identities that are dropped."""
+    """The rows that changed since a version, and the dropped identities."""
 
     changed: list[GatewayRow]
     dropped: list[str]
 
 
 def directory_check(rows: Iterable[GatewayRow]) -> int:
-    """Return a checksum of what decisions depend on, the same in any order of the rows."""
+    """Return a checksum of the fields that decisions use, independent of the order of rows."""
     lines = sorted(f"{row.identity} {row.state} {' '.join(row.leaving)}\n" for row in rows)
     return zlib.crc32("".join(lines).encode())
 
 
 class GatewayTable:
-    """Hold gateways by identity; `version` grows when what a neighbour must know changes."""
+    """Gateways by identity; `version` grows when a field that neighbours use changes."""
 
     def __init__(self, remembered_drops: int = REMEMBERED_DROPS):
         self._changes = ChangeLog(remembered_drops)
@@ -58,11 +58,11 @@
 
     @property
     def version(self) -> int:
-        """Return the version of what neighbours must know."""
+        """Return the version of the fields that neighbours use."""
         return self._changes.version
 
     def put(self, row: GatewayRow) -> None:
-        """Store a row unless a newer sign of the same gateway is held."""
+        """Store a row unless a more recent one of the same gateway is present."""
         old = self._rows.get(row.identity)
         if old is not None and old.seen_at > row.seen_at:
             return
@@ -75,17 +75,17 @@
         self._rows[row.identity] = row
 
     def live(self, now: float) -> list[GatewayRow]:
-        """Return the gateways seen lately, in the order of their names."""
+        """Return the gateways with a recent heartbeat, sorted by identity."""
         self.expire(now)
         return sorted(self._rows.values(), key=lambda row: row.identity)
 
     def is_live(self, identity: str, now: float) -> bool:
-        """Return whether the gateway was seen lately."""
+        """Return whether the gateway has a recent heartbeat."""
         self.expire(now)
         return identity in self._rows
 
     def since(self, version: int) -> DirectoryDelta | None:
-        """Return what changed after `version`, or None if only the whole can tell."""
+        """Return the changes after `version`, or None if a full copy is needed."""
         found = self._changes.since(version)
         if found is None:
             return None
@@ -93,7 +93,7 @@
         return DirectoryDelta([self._rows[identity] for identity in changed], dropped)
 
     def check(self) -> int:
-        """Return the checksum of the rows that are held."""
+        """Return the checksum of the current rows."""
         version, check = self._checked
         if version != self.version:
             check = directory_check(self._rows.values())
@@ -101,13 +101,13 @@
         return check
 
     def expire(self, now: float) -> None:
-        """Drop the gateways that have been silent too long."""
+        """Drop the gateways whose last heartbeat is too old."""
         gone = [row for row in self._rows.values() if now - row.seen_at > GATEWAY_LIFETIME]
         for row in gone:
             self._drop(row.identity)
 
     def _drop_predecessors(self, row):
-        """Forget older incarnations of the same instance."""
+        """Drop older incarnations of the same instance."""
         stale = [
             other.identity
             for other in self._rows.values()
--- a/traystall/tables/requests.py
+++ b/traystall/tables/requests.py
@@ -1,4 +1,4 @@
-"""Requests that a gateway runs, and the attempts made for them."""
+"""Requests in progress at a gateway, and the attempts to run their stages."""
 
 from enum import StrEnum
 
@@ -8,7 +8,7 @@
 
 
 class RunState(StrEnum):
-    """Say whether any part of a request ran."""
+    """Whether any part of a request has run."""
 
     NOT_RUN = "not-run"
     MAY_HAVE_RUN = "may-have-run"
@@ -16,7 +16,7 @@
 
 
 class StageRecord(msgspec.Struct):
-    """Hold where and how a stage ran; times in seconds."""
+    """Where and how a stage ran; times in seconds."""
 
     stage: str
     target: str = ""
@@ -30,7 +30,7 @@
 
 
 class RequestRow(msgspec.Struct):
-    """Hold one request in progress; `deadline` and `started_at` are monotonic seconds."""
+    """One request in progress; `deadline` and `started_at` are monotonic seconds."""
 
     request_id: str
     customer: str
@@ -44,11 +44,11 @@
     claim_id: str = ""
     claimed: bool = False
     doubtful_before_claim: int = 0
-    # Nothing may be sent under the claim after this time, in monotonic seconds.
+    # Time after which no attempt may be sent under the claim, in monotonic seconds.
     claim_ends_at: float = float("inf")
-    # Whether the claim is an earlier request's, whose work is known to have run.
+    # Whether the claim belongs to an earlier request whose work is known to have run.
     adopted_claim: bool = False
-    # Attempts of which a byte may have left, and those of them proven not run.
+    # Attempts that may have sent a byte, and those of them that provably didn't run.
     attempts_sent: int = 0
     attempts_not_run: int = 0
     attempts_made: int = 0
@@ -59,7 +59,7 @@
 
     @property
     def run_state(self) -> RunState:
-        """Return what may truthfully be said of the request now."""
+        """Return what is known for certain about the execution of the request."""
         if self.finished:
             return RunState.RAN
         if self.adopted_claim or self.attempts_sent > self.attempts_not_run:
@@ -67,23 +67,23 @@
         return RunState.NOT_RUN
 
     def on_claimed(self, ends_at: float) -> None:
-        """Note that this request holds its claim, and until when it may send under it."""
+        """Record that this request holds its claim and may send attempts until `ends_at`."""
         self.claimed = True
         self.claim_ends_at = ends_at
         self.doubtful_before_claim = self.attempts_sent - self.attempts_not_run
 
     def take_over(self, claim_id: str) -> None:
-        """Go on under an earlier request's claim, whose work has run."""
+        """Continue under the claim of an earlier request whose work has run."""
         self.claim_id = claim_id
         self.claimed = True
         self.adopted_claim = True
 
     @property
     def may_have_run_since_claim(self) -> bool:
-        """Return whether anything may have run under the claim."""
+        """Return whether an attempt may have run under the claim."""
         sent = self.attempts_sent - self.attempts_not_run > self.doubtful_before_claim
         return sent or self.adopted_claim
 
     def is_repeatable(self, stage) -> bool:
-        """Return whether an attempt at `stage` may be made again after a doubt."""
+        """Return whether `stage` may be retried after an attempt with an unknown outcome."""
         return stage.repeatable and not self.marked_not_repeatable
--- a/traystall/tables/target_limits.py
+++ b/traystall/tables/target_limits.py
@@ -1,51 +1,54 @@
-"""What one life of a target takes from all gateways together. Times are monotonic seconds."""
+"""The rate limit of one incarnation of a target for all gateways. Times are monotonic seconds."""
 
 import msgspec
 
-# An end that another process tells counts as so much older, in seconds: its age grows on its way.
+# The end of a limit that another process reports counts as this much older, because the delay of
+# the message isn't included in its age.
 REMOTE_MARGIN_SECONDS = 0.5
-# For so long, in seconds, answers that confirm an end are passed on too: the first may count as too
-# old elsewhere.
+# Later responses that confirm the end of a limit are distributed for this long, because other
+# processes may discard the first one as too old.
 _CONFIRM_WINDOW_SECONDS = 2.0
 
 
 class TargetLimit(msgspec.Struct):
-    """Hold the limit of one life of a target as this process knows it.
+    """The limit of one incarnation of a target as this process knows it.
 
-    It holds from the first answer that names it until an answer without it to a request that was
-    sent later than the one whose answer named it last. `per_second` is None without a limit.
+    A limit applies from the first response that announces it. It ends with a response without a
+    limit, if its request was sent later than that of the last announcement. `per_second` is None
+    without a limit.
     """
 
     per_second: float | None = None
-    # When the request was sent whose answer named it last, and the one whose answer ended it.
+    # Send times of the requests whose responses announced the limit last and ended it.
     sent_at: float = float("-inf")
     ended_at: float = float("-inf")
     since: float = float("-inf")
     first_ended_at: float = float("-inf")
-    # Whose word it is: the id of a request of ours, or the gateway that told it.
+    # Source of the limit: the id of a request of this process, or the gateway that reported it.
     told_by: str = ""
-    # Nothing is asked of the lender before: for work, and for what may as well be left out.
+    # No permit is requested before these times: for work and for optional requests.
     closed_until: float = float("-inf")
     spare_closed_until: float = float("-inf")
 
     @property
     def is_limited(self) -> bool:
-        """Return whether the target takes only so many."""
+        """Return whether the target has a limit."""
         return self.per_second is not None
 
     @property
     def was_named(self) -> bool:
-        """Return whether the target takes only so many, or has done so once."""
+        """Return whether the target has or had a limit."""
         return self.is_limited or self.ended_at > float("-inf")
 
     def is_closed(self, now: float) -> bool:
-        """Return whether no work may be sent now since others have what the target takes."""
+        """Return whether no work may be sent now because no permit is available."""
         return self.is_limited and now < self.closed_until
 
     def name(self, per_second: float, sent_at: float, told_by: str, now: float) -> bool:
-        """Take in an answer that names a limit; return whether that changes anything.
+        """Apply a response that announces a limit; return whether the limit changed.
 
-        It holds even if it answers a request from before an end: it was given after that.
+        After an end, the limit applies even if its request was sent before that end: the response
+        itself is more recent.
         """
         if self.is_limited and sent_at < self.sent_at:
             return False
@@ -59,9 +62,9 @@
         return changed
 
     def end(self, sent_at: float) -> bool:
-        """Take in an answer without a limit; return whether it has ended one.
+        """Apply a response without a limit; return whether it ended a limit.
 
-        An answer to an older request may have been given before the limit was named.
+        The response to an older request may predate the announcement of the limit.
         """
         if not self.is_limited or sent_at <= self.sent_at:
             return False
@@ -71,13 +74,13 @@
         return True
 
     def forget(self) -> None:
-        """Forget all: a new life of the target has said nothing yet."""
+        """Reset the state for a new incarnation, which hasn't announced anything yet."""
         self.per_second = None
         self.sent_at = self.ended_at = self.first_ended_at = float("-inf")
         self.closed_until = self.spare_closed_until = float("-inf")
 
     def confirm_end(self, sent_at: float) -> bool:
-        """Take in one more answer without a limit; return whether others should hear of it."""
+        """Apply a further response without a limit; return whether to distribute it."""
         if (
             self.is_limited
             or not self.ended_at < sent_at < self.first_ended_at + _CONFIRM_WINDOW_SECONDS
@@ -89,9 +92,10 @@
     def merge_remote(
         self, per_second: float | None, sent_at: float, told_by: str, now: float
     ) -> bool:
-        """Take in what another process knows; return whether that changes anything.
+        """Merge the limit that another process reports; return whether the limit changed.
 
-        The same word told to and fro would else become younger each time.
+        A repeated report of the same limit is ignored. Otherwise a report that circulates between
+        processes would become more recent each time.
         """
         if per_second is None:
             return self.end(sent_at - REMOTE_MARGIN_SECONDS)
--- a/traystall/tables/targets.py
+++ b/traystall/tables/targets.py
@@ -1,7 +1,7 @@
-"""Running state of targets, as one gateway or control daemon sees it.
+"""Runtime state of targets from the view of one gateway or control daemon.
 
-Times are monotonic seconds of this process. Rows survive a new revision as
-long as the target keeps its name and address.
+Times are monotonic seconds of this process. A row is kept across revisions
+while the target's name and address are unchanged.
 """
 
 from enum import StrEnum
@@ -12,19 +12,19 @@
 from traystall.tables.entities import PriorityClass, Target
 from traystall.tables.target_limits import TargetLimit
 
-# So many targets that are no longer declared are remembered, the newest.
+# Number of most recent rows that are kept for targets no longer in the table.
 _MAX_FORMER_ROWS = 1000
 
 
 class TargetState(StrEnum):
-    """Name what is known of a target's presence."""
+    """Presence of a target."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class Breaker(msgspec.Struct):
-    """Count failures in a row; while open, no work but one probe is sent."""
+    """State of a circuit breaker; while it is open, only a single probe is sent."""
 
     failures: int = 0
     opened: int = 0
@@ -33,44 +33,44 @@
 
 
 class TargetRow(msgspec.Struct):
-    """Hold what is known of one target."""
+    """State of one target."""
 
     target: Target
     incarnation: str = ""
     state: TargetState = TargetState.LIVE
-    # This gateway's attempts in flight: quick ones, and all others.
+    # This gateway's attempts in flight: quick work and all other work.
     quick_in_flight: int = 0
     bulk_in_flight: int = 0
-    # How long this target takes compared with its pool; 1.0 is as long.
+    # Service time relative to the pool; 1.0 is equal.
     service_ratio: float = 1.0
     ratio_at: float = float("-inf")
     breaker: Breaker = msgspec.field(default_factory=Breaker)
-    # What it has asked of this gateway.
+    # The backoff period or drain that the target requested from this gateway.
     asked: Asked = msgspec.field(default_factory=Asked)
-    # What it takes from all gateways together.
+    # Rate limit for all gateways together.
     limit: TargetLimit = msgspec.field(default_factory=TargetLimit)
-    # Models that the target says it holds; empty means not known.
+    # Models that the target reports; empty if unknown.
     models: frozenset[str] = frozenset()
-    # Work other than quick that this gateway may have in flight here at once.
+    # Bulk attempts (all but quick work) that this gateway may have in flight here.
     share: int = 1
-    # What it may have beyond its share, as long as the target keeps up.
+    # Bulk attempts beyond the share while the target has no queue.
     excess_slots: float = 0.0
     may_exceed_share: bool = False
-    # Whether one slot of the target is kept free of bulk work.
+    # Whether one slot of the target is reserved for quick work.
     keeps_quick_slot: bool = False
-    # Average number of this gateway's quick attempts in flight, and when it was last folded in.
+    # Average number of this gateway's quick attempts in flight, and the time of the last sample.
     quick_load: float = 0.0
     quick_load_at: float = float("-inf")
 
     def take(self, priority: PriorityClass) -> None:
-        """Count one more attempt in flight."""
+        """Take a slot for an attempt of the class."""
         if priority is PriorityClass.QUICK:
             self.quick_in_flight += 1
         else:
             self.bulk_in_flight += 1
 
     def give_back(self, priority: PriorityClass) -> None:
-        """Count one attempt less in flight."""
+        """Release the slot of an attempt of the class."""
         if priority is PriorityClass.QUICK:
             self.quick_in_flight -= 1
         else:
@@ -78,17 +78,17 @@
 
     @property
     def life(self) -> str:
-        """Return the name under which all gateways know its limit."""
+        """Return the identifier of the incarnation in permits, the same at all gateways."""
         return f"{self.target.name}@{self.target.address}"
 
     def blocked_until(self) -> float:
-        """Return when it may be asked for something again, by its rest and its limit."""
+        """Return when the target's backoff period and limit allow requests again."""
         closed = self.limit.closed_until if self.limit.is_limited else float("-inf")
         return max(self.asked.rest_until, closed)
 
     @property
     def has_restriction(self) -> bool:
-        """Return whether it has ever asked for rest, or leaves."""
+        """Return whether the target is leaving or has ever requested a backoff period."""
         return self.asked.rest_until > float("-inf") or self.state is TargetState.LEAVING
 
     @property
@@ -98,19 +98,19 @@
 
 
 class TargetTable:
-    """Hold rows by target name, with an index by pool."""
+    """Rows by target name, with an index by pool."""
 
     def __init__(self):
         self._rows: dict[str, TargetRow] = {}
-        # Rows that a revision or an evacuation took away and that have asked for something.
+        # Rows with restrictions whose targets a revision or an evacuation removed.
         self._former: dict[str, TargetRow] = {}
         self._pools: dict[str, list[TargetRow]] = {}
 
     def replace(self, targets) -> None:
-        """Take over the targets of a revision, keeping the rows that still stand.
+        """Replace the targets by those of a revision and keep the rows of unchanged targets.
 
-        What a target has asked for outlasts its absence: an evacuation that was taken back would
-        else send to one that rests or leaves.
+        A target's restrictions outlast its absence. Otherwise a reverted evacuation would send
+        work to a target that is leaving or in a backoff period.
         """
         known = self._former | self._rows
         rows = {}
