--- a/tests/permits/test_news.py
+++ b/tests/permits/test_news.py
@@ -1,4 +1,4 @@
-"""All gateways soon know a limit and its end, not only those that asked."""
+"""All gateways learn a limit and its end within a few intervals, not only those that requested."""
 
 import asyncio
 
@@ -7,99 +7,103 @@
 from traystall.systems.target_limits import ANY_NUMBER, LimitWord
 
 
-class Told:
-    """Let the gateways of a site that knows of no limit yet tell each other."""
+class BroadcastSite:
+    """Distribute limits between the gateways of a site where no limit is known yet."""
 
     def __init__(self, monkeypatch, count):
         self.site = LendingSite(clock_of(monkeypatch), count, None)
-        self.tellers = [
+        self.broadcasters = [
             LimitTeller(
                 permits, permits.links, lambda: self.site.rows, lambda life: PLACE, lambda: {LIFE}
             )
             for permits in self.site.gateways.values()
         ]
 
-    async def turn(self):
+    async def run_interval(self):
         self.site.now += 0.2
-        for teller in self.tellers:
-            teller.review()
+        for broadcaster in self.broadcasters:
+            broadcaster.review()
         for _ in range(3):
             await asyncio.sleep(0)
 
     def known(self):
         return {p.limit(LIFE).per_second for p in self.site.gateways.values()}
 
-    def stranger(self):
+    def non_lender(self):
         """Return a gateway that does not lend."""
         names = [name for name in self.site.gateways if name not in self.site.lenders()]
         return self.site.gateways[names[0]]
 
 
-def test_all_know_a_limit_and_its_end_within_three_turns(monkeypatch):
-    async def story():
-        told = Told(monkeypatch, 24)
-        told.stranger().hear(LIFE, LimitWord(2.0), told.site.now, "r")
+def test_all_gateways_know_a_limit_and_its_end_within_three_intervals(monkeypatch):
+    async def scenario():
+        broadcast_site = BroadcastSite(monkeypatch, 24)
+        broadcast_site.non_lender().hear(LIFE, LimitWord(2.0), broadcast_site.site.now, "r")
         for _ in range(3):
-            await told.turn()
-        assert told.known() == {2.0}
-        told.site.now += 2.0
-        told.stranger().hear(LIFE, ANY_NUMBER, told.site.now, "r")
+            await broadcast_site.run_interval()
+        assert broadcast_site.known() == {2.0}
+        broadcast_site.site.now += 2.0
+        broadcast_site.non_lender().hear(LIFE, ANY_NUMBER, broadcast_site.site.now, "r")
         for _ in range(3):
-            await told.turn()
-        assert told.known() == {None}
+            await broadcast_site.run_interval()
+        assert broadcast_site.known() == {None}
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_nothing_is_told_that_all_know(monkeypatch):
-    async def story():
-        told = Told(monkeypatch, 9)
-        await told.turn()
-        assert told.site.messages == 0
-        told.stranger().hear(LIFE, LimitWord(2.0), told.site.now, "r")
+def test_known_limits_are_not_sent_again(monkeypatch):
+    async def scenario():
+        broadcast_site = BroadcastSite(monkeypatch, 9)
+        await broadcast_site.run_interval()
+        assert broadcast_site.site.messages == 0
+        broadcast_site.non_lender().hear(LIFE, LimitWord(2.0), broadcast_site.site.now, "r")
         for _ in range(3):
-            await told.turn()
-        sent = told.site.messages
+            await broadcast_site.run_interval()
+        sent = broadcast_site.site.messages
         for step in range(10):
-            # A little more or less reaches those who ask for permits.
-            told.stranger().hear(LIFE, LimitWord(2.0 + step / 10), told.site.now, "r")
-            await told.turn()
+            # Small changes are only part of permit replies.
+            broadcast_site.non_lender().hear(
+                LIFE, LimitWord(2.0 + step / 10), broadcast_site.site.now, "r"
+            )
+            await broadcast_site.run_interval()
         assert sent <= 2 + 8
-        assert told.site.messages - sent <= 2 * 10
+        assert broadcast_site.site.messages - sent <= 2 * 10
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_gateway_that_was_cut_off_is_told_later_and_a_new_one_at_once(monkeypatch):
-    async def story():
-        told = Told(monkeypatch, 9)
-        cut = told.stranger()
-        told.site.cut.add(cut.identity)
-        lender = told.site.gateways[told.site.lenders()[0]]
-        lender.hear(LIFE, LimitWord(2.0), told.site.now, "r")
+def test_partitioned_and_new_gateways_receive_the_limit(monkeypatch):
+    async def scenario():
+        broadcast_site = BroadcastSite(monkeypatch, 9)
+        cut = broadcast_site.non_lender()
+        broadcast_site.site.cut.add(cut.identity)
+        lender = broadcast_site.site.gateways[broadcast_site.site.lenders()[0]]
+        lender.hear(LIFE, LimitWord(2.0), broadcast_site.site.now, "r")
         for _ in range(3):
-            await told.turn()
+            await broadcast_site.run_interval()
         assert not cut.limit(LIFE).is_limited
-        told.site.cut.clear()
-        told.site.add("new")
+        broadcast_site.site.cut.clear()
+        broadcast_site.site.add("new")
         for _ in range(6):
-            await told.turn()
-        assert told.known() == {2.0}
+            await broadcast_site.run_interval()
+        assert broadcast_site.known() == {2.0}
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_gateway_that_knows_no_permits_gets_no_message(monkeypatch):
-    async def story():
-        told = Told(monkeypatch, 9)
-        old = told.stranger()
-        for row in told.site.rows:
+def test_gateway_without_permit_support_gets_no_message(monkeypatch):
+    async def scenario():
+        broadcast_site = BroadcastSite(monkeypatch, 9)
+        old = broadcast_site.non_lender()
+        for row in broadcast_site.site.rows:
             row.lends = row.identity != old.identity
-        told.site.review()
-        told.site.gateways[told.site.lenders()[0]].hear(LIFE, LimitWord(2.0), told.site.now, "r")
+        broadcast_site.site.review()
+        broadcast_site.site.gateways[broadcast_site.site.lenders()[0]].hear(
+            LIFE, LimitWord(2.0), broadcast_site.site.now, "r"
+        )
         for _ in range(5):
-            await told.turn()
+            await broadcast_site.run_interval()
         assert not old.limit(LIFE).is_limited
-        assert told.known() == {2.0, None}
+        assert broadcast_site.known() == {2.0, None}
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/tests/permits/test_permits.py
+++ b/tests/permits/test_permits.py
@@ -1,4 +1,4 @@
-"""Gateways that lend a limit to each other keep to it together, whatever happens to some."""
+"""All gateways together keep a target's limit, also when some of them fail or lose their links."""
 
 import asyncio
 
@@ -12,11 +12,11 @@
 from traystall.systems.permits import FIRST_PART
 from traystall.systems.target_limits import ANY_NUMBER, LimitWord
 
-SPAN_SECONDS = 4.0
+WINDOW_SECONDS = 4.0
 
 
-def allowed(limit):
-    return 1.5 * limit * SPAN_SECONDS + 5
+def max_allowed(limit):
+    return 1.5 * limit * WINDOW_SECONDS + 5
 
 
 def site_of(monkeypatch, count, limit=1.0, seed=0):
@@ -26,19 +26,19 @@
 @pytest.mark.parametrize("skewed", [False, True])
 @pytest.mark.parametrize("limit", [0.25, 1.0, 5.0, 20.0])
 @pytest.mark.parametrize("count", [1, 9, 24, 195])
-def test_all_together_keep_to_a_limit_and_use_it(monkeypatch, count, limit, skewed):
-    async def story():
+def test_all_gateways_together_keep_and_use_the_limit(monkeypatch, count, limit, skewed):
+    async def scenario():
         site = site_of(monkeypatch, count, limit)
         weights = [10.0 if skewed and n < 2 else 1.0 for n in range(count)]
         await site.press(40.0, 100.0, weights)
-        assert site.most_within(SPAN_SECONDS) <= allowed(limit)
+        assert site.most_within(WINDOW_SECONDS) <= max_allowed(limit)
         assert len(site.sent) >= 40.0 * limit * FIRST_PART * 0.5 - 1
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_quiet_spell_saves_nothing_up(monkeypatch):
-    async def story():
+def test_idle_period_accumulates_no_permits(monkeypatch):
+    async def scenario():
         site = site_of(monkeypatch, 195)
         await site.press(5.0, 50.0)
         site.now += 60.0
@@ -47,32 +47,32 @@
             await site.ask(name)
         assert len(site.sent) <= 2
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("number", [0, 1])
-def test_lost_lender_is_not_waited_for_and_nothing_is_lent_twice(monkeypatch, number, seed):
-    async def story():
+def test_failed_lender_is_replaced_without_double_grants(monkeypatch, number, seed):
+    async def scenario():
         site = site_of(monkeypatch, 9, seed=seed)
-        lost = site.lenders()[number]
+        failed = site.lenders()[number]
         await site.press(8.0, 50.0)
-        site.end(lost)
+        site.end(failed)
         before = len(site.sent)
         await site.press(4.0, 50.0)
-        assert len(site.sent) > before  # The other lender goes on.
-        site.unlist(lost)
+        assert len(site.sent) > before  # The other lender continues.
+        site.unlist(failed)
         await site.press(2 * SETTLE_SECONDS, 50.0)
         before = len(site.sent)
         await site.press(10.0, 50.0)
         assert len(site.sent) - before >= 10.0 * FIRST_PART * 0.5
-        assert site.most_within(SPAN_SECONDS) <= allowed(1.0)
+        assert site.most_within(WINDOW_SECONDS) <= max_allowed(1.0)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_silent_lender_is_asked_once_in_a_while(monkeypatch):
-    async def story():
+def test_silent_lender_gets_few_requests(monkeypatch):
+    async def scenario():
         site = site_of(monkeypatch, 9)
         site.cut |= set(site.lenders())
         site.messages = 0
@@ -82,11 +82,11 @@
             site.now += 0.01
         assert site.messages <= 2
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_cut_lender_lends_to_itself_alone_and_the_others_keep_to_the_limit(monkeypatch):
-    async def story():
+def test_partitioned_lender_grants_only_to_itself(monkeypatch):
+    async def scenario():
         site = site_of(monkeypatch, 9)
         cut = site.lenders()[0]
         await site.press(8.0, 50.0)
@@ -94,19 +94,19 @@
         await site.press(6.0, 50.0)
         site.unlist(cut)
         await site.press(12.0, 50.0)
-        assert site.most_within(SPAN_SECONDS, excused={cut}) <= allowed(1.0)
+        assert site.most_within(WINDOW_SECONDS, excused={cut}) <= max_allowed(1.0)
         assert any(name == cut for at, name in site.sent if at > site.now - 10.0)
         site.cut.clear()
         site.rows.append(next(r for r in site_of(monkeypatch, 9).rows if r.identity == cut))
         await site.press(20.0, 50.0)
-        assert site.most_within(SPAN_SECONDS, excused={cut}) <= allowed(1.0)
+        assert site.most_within(WINDOW_SECONDS, excused={cut}) <= max_allowed(1.0)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_gateways_that_start_again_one_after_the_other(monkeypatch, seed):
-    async def story():
+def test_rolling_restart_keeps_the_limit(monkeypatch, seed):
+    async def scenario():
         site = site_of(monkeypatch, 6, seed=seed)
         for number in range(6):
             await site.press(3.0, 50.0)
@@ -115,13 +115,13 @@
             await site.press(1.0, 50.0)
             site.add(f"g-{number}/2")
         await site.press(20.0, 50.0)
-        assert site.most_within(SPAN_SECONDS) <= allowed(1.0)
+        assert site.most_within(WINDOW_SECONDS) <= max_allowed(1.0)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_permit_is_void_when_its_time_is_over_or_the_limit_falls(monkeypatch):
-    async def story():
+def test_permit_is_invalid_after_expiry_or_a_lower_limit(monkeypatch):
+    async def scenario():
         site = site_of(monkeypatch, 1, limit=50.0)
         permits = site.gateways["g-0"]
         permit = await permits.take(LIFE, PLACE)
@@ -130,29 +130,29 @@
         assert not permits.covers(LIFE, permit)
         site.now += 10.0
         permit = await permits.take(LIFE, PLACE)
-        # A process that is frozen or suspended: the clock counts that time.
+        # The clock also advances while the process is frozen or suspended.
         site.now += 3.0
         assert not permits.covers(LIFE, permit)
         assert not permits.covers(LIFE, None)
         permits.hear(LIFE, ANY_NUMBER, site.now + 1.0, "r")
         assert permits.covers(LIFE, None)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_permit_of_another_life_covers_nothing(monkeypatch):
-    async def story():
+def test_permit_of_another_incarnation_covers_nothing(monkeypatch):
+    async def scenario():
         site = site_of(monkeypatch, 1)
         permits = site.gateways["g-0"]
         permit = await permits.take(LIFE, PLACE)
         permits.hear("target-1@2", LimitWord(1.0), site.now, "r")
         assert not permits.covers("target-1@2", permit)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_permit_that_is_given_back_serves_another(monkeypatch):
-    async def story():
+def test_returned_permit_is_granted_to_another_gateway(monkeypatch):
+    async def scenario():
         site = site_of(monkeypatch, 3)
         first, second = list(site.gateways)[:2]
         await site.ask(first)
@@ -166,11 +166,11 @@
         got = await site.gateways[second].take(LIFE, PLACE, patience=1.6)
         assert got.valid_from == pytest.approx(permit.valid_from)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_gateway_that_stops_lends_nothing(monkeypatch):
-    async def story():
+def test_stopping_gateway_grants_nothing(monkeypatch):
+    async def scenario():
         site = site_of(monkeypatch, 9)
         first = site.gateways[site.lenders()[0]]
         first.may_lend = False
@@ -178,11 +178,11 @@
         assert not first.lend(request).lends
         assert await site.ask(first.identity)  # The second lender serves it.
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_lender_that_has_never_heard_of_a_limit_takes_it_from_who_asks(monkeypatch):
-    async def story():
+def test_lender_learns_an_unknown_limit_from_the_request(monkeypatch):
+    async def scenario():
         site = site_of(monkeypatch, 9)
         lender = site.gateways[site.lenders()[0]]
         lender.limit(LIFE).forget()
@@ -191,24 +191,24 @@
         assert lender.limit(LIFE).per_second == 1.0
         assert not await site.ask(other)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_end_is_told_and_later_words_hold(monkeypatch):
+def test_end_is_distributed_and_the_latest_announcement_applies(monkeypatch):
     site = site_of(monkeypatch, 2)
     one, two = site.gateways.values()
     site.now += 5.0
     one.hear(LIFE, ANY_NUMBER, site.now, "r")
     two.take_news(LimitNews(sender="g-0", limits=[one.record(LIFE)]))
     assert not two.limit(LIFE).is_limited
-    two.take_news(LimitNews(sender="old", limits=[_named(3.0, age=20.0)]))
+    two.take_news(LimitNews(sender="old", limits=[_limit_record(3.0, age=20.0)]))
     assert not two.limit(LIFE).is_limited
     site.now += 5.0
-    two.take_news(LimitNews(sender="new", limits=[_named(3.0, age=0.1)]))
+    two.take_news(LimitNews(sender="new", limits=[_limit_record(3.0, age=0.1)]))
     assert two.limit(LIFE).per_second == 3.0
 
 
-def test_lives_that_are_gone_are_forgotten_after_a_while(monkeypatch):
+def test_unknown_incarnations_are_removed_after_a_while(monkeypatch):
     site = site_of(monkeypatch, 1)
     permits = site.gateways["g-0"]
     permits.retain(set())
@@ -218,11 +218,11 @@
     assert LIFE not in permits.limits()
 
 
-def _named(per_second, age):
+def _limit_record(per_second, age):
     from traystall.rpc.gen.wire.ttypes import TargetLimitRecord
 
     return TargetLimitRecord(life=LIFE, per_second=per_second, age=age)
 
 
-def test_the_clock_of_permits_counts_the_time_of_a_suspended_machine():
+def test_permit_clock_includes_suspended_time():
     assert abs(clock.monotonic() - clock.time.clock_gettime(clock.time.CLOCK_BOOTTIME)) < 1.0
--- a/tests/permits/test_ranks.py
+++ b/tests/permits/test_ranks.py
@@ -1,4 +1,4 @@
-"""At no time do two gateways lend a whole limit, whatever each of them knows of the others."""
+"""Two gateways never grant a full limit at once, however their views of the membership differ."""
 
 import random
 
@@ -9,7 +9,7 @@
 from traystall.tables.gateways import GatewayRow
 
 LIFE = "target-1"
-# Views of the same membership come so much apart at the most, in seconds.
+# Maximum delay with which a gateway receives a change of the membership.
 _LAG_SECONDS = 2.0
 
 
@@ -17,7 +17,7 @@
     return GatewayRow(name, name, place, "", f"{name}:1", 1, state, 0.0, False, lends=lends)
 
 
-def settled(own, rows):
+def settled_ranking(own, rows):
     ranks = LenderRanks(own)
     ranks.note(rows, 0.0)
     ranks.note(rows, SETTLE_SECONDS)
@@ -25,35 +25,35 @@
 
 
 @pytest.mark.parametrize("count", [1, 2, 9, 24, 195])
-def test_just_two_lend_and_all_agree_who(count):
+def test_all_gateways_agree_on_two_lenders(count):
     rows = [row(f"g-{n}") for n in range(count)]
-    parts = [settled(r.identity, rows).part(LIFE, "here", SETTLE_SECONDS) for r in rows]
+    parts = [settled_ranking(r.identity, rows).part(LIFE, "here", SETTLE_SECONDS) for r in rows]
     assert sorted(parts, reverse=True)[:2] == [FIRST_PART, SECOND_PART][:count]
     assert sum(part > 0 for part in parts) == min(2, count)
 
 
-def test_lenders_are_near_the_target_if_any_gateway_is():
+def test_lenders_are_in_the_targets_data_centre_if_possible():
     rows = [row(f"g-{n}", "here" if n < 3 else "there") for n in range(9)]
-    ranks = settled("g-0", rows)
+    ranks = settled_ranking("g-0", rows)
     assert set(ranks.lenders(LIFE, "here")) <= {"g-0", "g-1", "g-2"}
     assert set(ranks.lenders(LIFE, "there")).isdisjoint({"g-0", "g-1", "g-2"})
     assert len(ranks.lenders(LIFE, "nowhere")) == 2
 
 
-def test_gateways_that_know_no_permits_are_never_asked():
+def test_gateways_without_permit_support_are_never_lenders():
     rows = [row(f"old-{n}", lends=False) for n in range(5)]
-    ranks = settled("g-0", rows)
+    ranks = settled_ranking("g-0", rows)
     assert ranks.lenders(LIFE, "here") == []
     assert ranks.part(LIFE, "here", SETTLE_SECONDS) == 0.0
-    assert settled("g-0", [*rows, row("g-0")]).lenders(LIFE, "here") == ["g-0"]
+    assert settled_ranking("g-0", [*rows, row("g-0")]).lenders(LIFE, "here") == ["g-0"]
 
 
-def test_gateway_that_stops_is_not_ranked():
+def test_draining_gateway_is_not_ranked():
     rows = [row("g-0"), row("g-1", state="draining")]
-    assert settled("g-0", rows).lenders(LIFE, "here") == ["g-0"]
+    assert settled_ranking("g-0", rows).lenders(LIFE, "here") == ["g-0"]
 
 
-def test_gateway_that_has_just_come_lends_nothing():
+def test_new_gateway_grants_nothing_until_its_view_settles():
     ranks = LenderRanks("g-0")
     assert ranks.part(LIFE, "here", 0.0) == 0.0
     ranks.note([row("g-0")], 0.0)
@@ -61,10 +61,10 @@
     assert ranks.part(LIFE, "here", SETTLE_SECONDS) == FIRST_PART
 
 
-def test_second_lender_takes_over_in_two_steps():
+def test_second_lender_becomes_first_in_two_steps():
     rows = [row(f"g-{n}") for n in range(3)]
-    first, second = settled("g-0", rows).lenders(LIFE, "here")
-    ranks = settled(second, rows)
+    first, second = settled_ranking("g-0", rows).lenders(LIFE, "here")
+    ranks = settled_ranking(second, rows)
     left = [r for r in rows if r.identity != first]
     now = SETTLE_SECONDS + 1.0
     ranks.note(left, now)
@@ -73,29 +73,29 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_views_that_differ_for_a_while_never_make_two_first_lenders(seed):
-    """Gateways come and end; each hears of it late by its own time; who ended lends nothing."""
+def test_differing_views_never_give_two_first_lenders(seed):
+    """Gateways start and stop, and each of the others learns of it after its own delay."""
     source = random.Random(seed)
     rows = {f"g-{n}": row(f"g-{n}") for n in range(6)}
-    alive, now = dict.fromkeys(rows, 0.0), 0.0
+    running, now = dict.fromkeys(rows, 0.0), 0.0
     ranks = {name: LenderRanks(name) for name in rows}
     pending = [(0.0, name, tuple(rows)) for name in rows]
     highest = 0.0
     while now < 120.0:
         now += 0.25
         if source.random() < 0.04:
-            gone = source.choice(list(alive))
-            if len(alive) > 2:
-                del alive[gone], ranks[gone]
+            stopped = source.choice(list(running))
+            if len(running) > 2:
+                del running[stopped], ranks[stopped]
             new = f"g-{now}"
-            alive[new], ranks[new] = now, LenderRanks(new)
-            members = tuple(alive)
-            pending += [(now + source.uniform(0, _LAG_SECONDS), n, members) for n in alive]
+            running[new], ranks[new] = now, LenderRanks(new)
+            members = tuple(running)
+            pending += [(now + source.uniform(0, _LAG_SECONDS), n, members) for n in running]
         for at, name, members in [entry for entry in pending if entry[0] <= now]:
             pending.remove((at, name, members))
             if name in ranks:
                 ranks[name].note([row(member) for member in members], now)
-        parts = [ranks[name].part(LIFE, "here", now) for name in alive]
+        parts = [ranks[name].part(LIFE, "here", now) for name in running]
         assert sum(part == FIRST_PART for part in parts) <= 1
         assert sum(parts) <= 1.5
         highest = max(highest, sum(parts))
--- a/tests/systems/test_limits.py
+++ b/tests/systems/test_limits.py
@@ -1,4 +1,4 @@
-"""Customers' limits: the parts of all gateways never sum above the whole."""
+"""Customers' limits: the shares of all gateways never exceed a customer's limit."""
 
 import itertools
 
@@ -9,7 +9,9 @@
 from traystall.systems.queues import FairClock, Waiter, order
 from traystall.tables.entities import Customer, DataCentre, Limits, Stage
 
-PLACES = [DataCentre(name, "r", gateways) for name, gateways in (("a", 3), ("b", 1), ("c", 2))]
+DATA_CENTRES = [
+    DataCentre(name, "r", gateways) for name, gateways in (("a", 3), ("b", 1), ("c", 2))
+]
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -18,17 +20,17 @@
     st.integers(1, 50),
     st.integers(0, 3),
 )
-def test_parts_sum_to_the_whole_whatever_runs(inside, whole, surplus):
-    """Also with more gateways than declared, and each cut off from all others."""
+def test_shares_sum_to_the_limit(inside, whole, surplus):
+    """The sum also holds with more gateways than declared and without any communication."""
     customer = Customer("x", tuple(sorted(inside)), Limits(rate=float(whole), concurrency=whole))
-    count = limits.gateways_inside(customer, PLACES)
+    count = limits.gateways_inside(customer, DATA_CENTRES)
     running = [
         (place.name, index)
-        for place in PLACES
+        for place in DATA_CENTRES
         if place.name in inside
         for index in range(place.gateways + surplus)
     ]
-    positions = [limits.position_inside(customer, PLACES, *gateway) for gateway in running]
+    positions = [limits.position_inside(customer, DATA_CENTRES, *gateway) for gateway in running]
     assert len([p for p in positions if p < count]) == len({p for p in positions if p < count})
     assert sum(limits.rate_share(whole, p, count) for p in positions) <= whole + 1e-9
     assert sum(limits.concurrency_share(whole, p, count) for p in positions) == whole
@@ -36,8 +38,8 @@
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.lists(st.floats(0, 0.5), min_size=1, max_size=80), st.integers(1, 20))
-def test_rate_matches_the_naive_count(gaps, rate):
-    """In no window may more than the burst and the rate's worth be let through."""
+def test_rate_limit_holds_in_every_window(gaps, rate):
+    """No window admits more requests than the burst plus the rate times its length."""
     customer = Customer("x", ("a",), Limits(rate=float(rate)))
     limiter, admitted = limits.Limiter(), []
     for now in itertools.accumulate(gaps):
@@ -51,8 +53,8 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.randoms(use_true_random=False), st.integers(1, 12), st.booleans())
-def test_loans_never_make_the_parts_exceed_the_whole(rng, whole, answers_get_lost):
-    """Random requests, ends and loans at three gateways whose clocks differ."""
+def test_loans_never_exceed_the_limit(rng, whole, replies_get_lost):
+    """Random requests, ends and loans at three gateways with different clocks."""
     customer = Customer("x", ("a",), Limits(rate=float(whole), concurrency=whole))
     gateways = [limits.Limiter() for _ in range(3)]
     offsets = [rng.uniform(0, 50) for _ in gateways]
@@ -71,20 +73,20 @@
             loan = gateways[lender].lend(
                 customer, lender, 3, now + offsets[lender], limits.Loan(8.0, 4)
             )
-            if not (answers_get_lost and rng.random() < 0.5):
+            if not (replies_get_lost and rng.random() < 0.5):
                 gateways[at].borrow("x", loan, now + offsets[at])
         assert len(running) <= whole
         assert admitted <= 3 * max(1.0, whole / 3) + whole * now + 1e-6
 
 
 def ends(gateways, end, gateway, now):
-    """Return whether a request has ended by now, and count it out."""
+    """Return whether a request has ended by now, and record its end if so."""
     if end <= now:
         gateways[gateway].finish("x")
     return end <= now
 
 
-def test_borrowing_lets_one_gateway_use_the_whole():
+def test_gateway_borrows_up_to_the_whole_limit():
     customer = Customer("x", ("a",), Limits(concurrency=9))
     one, other = limits.Limiter(), limits.Limiter()
     while one.admit(customer, 0, 2, 0.0, 1.0).within:
@@ -92,10 +94,10 @@
     for _ in range(4):
         loan = other.lend(customer, 1, 2, 0.0, limits.Loan(8.0, 4))
         one.borrow("x", loan, 0.0)
-    extra = 0
+    borrowed_count = 0
     while one.admit(customer, 0, 2, 0.0, 1.0).within:
-        extra += 1
-    assert extra == 4
+        borrowed_count += 1
+    assert borrowed_count == 4
     assert not other.admit(customer, 1, 2, 0.0, 1.0).within
     assert other.admit(customer, 1, 2, limits.LOAN_SECONDS, 1.0).within
 
--- a/tests/systems/test_membership.py
+++ b/tests/systems/test_membership.py
@@ -1,4 +1,4 @@
-"""Presence: whoever says leaving is believed, and a stale list can't undo it."""
+"""Presence of targets: any source can report a target as leaving; a stale list can't revert it."""
 
 import itertools
 
@@ -15,7 +15,7 @@
 SELF_WITHOUT_INCARNATION = PresenceReport("t", True, "", first_hand=True)
 NEXT_LIST_LIVE = PresenceReport("t", False, "2")
 NEXT_SELF_LIVE = PresenceReport("t", False, "2", first_hand=True)
-EVERYTHING = (
+ALL_REPORTS = (
     LIST_SAYS_LIVE,
     LIST_SAYS_LEAVING,
     SELF_SAYS_LIVE,
@@ -30,8 +30,8 @@
     return TargetRow(Target("t", "pool", "service", "place", "127.0.0.1:1"))
 
 
-def naive_state(reports):
-    """Decide by reading all reports: leaving stays until the target itself names a new life."""
+def expected_state(reports):
+    """Reference model: a leaving target stays so until it reports a new incarnation itself."""
     state, incarnation = TargetState.LIVE, ""
     for report in reports:
         if report.leaving:
@@ -49,15 +49,15 @@
 
 
 @pytest.mark.parametrize("length", [1, 2, 3, 4])
-def test_every_sequence_matches_the_naive_version(length):
-    for reports in itertools.product(EVERYTHING, repeat=length):
+def test_every_sequence_matches_the_reference_model(length):
+    for reports in itertools.product(ALL_REPORTS, repeat=length):
         row = make_row()
         for report in reports:
             on_report(row, report)
-        assert row.state is naive_state(reports), reports
+        assert row.state is expected_state(reports), reports
 
 
-def test_stale_list_does_not_bring_a_leaving_target_back():
+def test_stale_list_does_not_revert_a_leaving_target():
     row = make_row()
     on_report(row, SELF_SAYS_LIVE)
     on_report(row, SELF_SAYS_LEAVING)
@@ -66,7 +66,7 @@
     assert row.state is TargetState.LEAVING
 
 
-def test_new_incarnation_starts_afresh():
+def test_new_incarnation_resets_the_state():
     row = make_row()
     on_report(row, SELF_SAYS_LEAVING)
     row.breaker = Breaker(failures=9)
--- a/tests/systems/test_orders.py
+++ b/tests/systems/test_orders.py
@@ -1,4 +1,7 @@
-"""Placement: what is missing is loaded, one engine of a place at a time, old versions go last."""
+"""Model placement: missing models are loaded one engine at a time; old versions are unloaded last.
+
+The order of these steps keeps the declared number of replicas ready in each data centre.
+"""
 
 import pytest
 
@@ -6,20 +9,20 @@
 from traystall.tables.entities import Kind, Model, Target
 
 OLD, NEW = Loaded("m", "1"), Loaded("m", "2")
-PLACES = ("north", "south")
+DATA_CENTRES = ("north", "south")
 
 
 def engines():
-    """Return three engines in each of two places."""
+    """Return three engines in each of two data centres."""
     return [
         Target(f"{place}-{n}", "pool", Kind.ENGINE, place, f"127.0.0.1:{n}")
-        for place in PLACES
+        for place in DATA_CENTRES
         for n in range(3)
     ]
 
 
-class World:
-    """Let engines obey their orders and remember what they held."""
+class SimulatedEngines:
+    """Engines that carry out their orders at once."""
 
     def __init__(self, held):
         self.states = {t.name: EngineState(t.name, frozenset(held)) for t in engines()}
@@ -35,24 +38,24 @@
         return sum(model in s.ready for n, s in self.states.items() if n.startswith(place))
 
 
-def test_rolling_version_keeps_replicas_and_ends_with_the_new_only():
-    world, budget = World([OLD]), LoadBudget(rate=1000.0)
+def test_rolling_update_keeps_replicas_and_unloads_the_old_version():
+    simulated, budget = SimulatedEngines([OLD]), LoadBudget(rate=1000.0)
     models = [Model("m", "2", "pool", replicas=2)]
     for now in range(1, 40):
-        orders = world.round(models, budget, float(now))
-        for place in PLACES:
+        orders = simulated.round(models, budget, float(now))
+        for place in DATA_CENTRES:
             assert sum(o.target.startswith(place) for o in orders) <= 1
-            # At no time does a place have fewer ready replicas than are declared.
-            assert world.ready(place, OLD) >= 2 or world.ready(place, NEW) >= 2
-    for place in PLACES:
-        assert (world.ready(place, NEW), world.ready(place, OLD)) == (2, 0)
-    assert world.round(models, budget, 50.0) == []
+            # A data centre never has fewer ready replicas than declared.
+            assert simulated.ready(place, OLD) >= 2 or simulated.ready(place, NEW) >= 2
+    for place in DATA_CENTRES:
+        assert (simulated.ready(place, NEW), simulated.ready(place, OLD)) == (2, 0)
+    assert simulated.round(models, budget, 50.0) == []
 
 
-def test_loads_are_paced():
-    world, budget = World([]), LoadBudget(rate=0.5)
+def test_loads_are_rate_limited():
+    simulated, budget = SimulatedEngines([]), LoadBudget(rate=0.5)
     given = [
-        len(world.round([Model("m", "2", "pool", replicas=3)], budget, float(now)))
+        len(simulated.round([Model("m", "2", "pool", replicas=3)], budget, float(now)))
         for now in range(1, 21)
     ]
     assert sum(given) == 6
@@ -60,17 +63,17 @@
 
 
 @pytest.mark.parametrize("silent", [0, 1, 2])
-def test_silent_engines_are_neither_ordered_nor_counted(silent):
-    world, budget = World([NEW]), LoadBudget(rate=1000.0)
-    names = sorted(world.states)[:silent]
+def test_engines_without_state_get_no_orders(silent):
+    simulated, budget = SimulatedEngines([NEW]), LoadBudget(rate=1000.0)
+    names = sorted(simulated.states)[:silent]
     for name in names:
-        del world.states[name]
-    orders = plan([Model("m", "2", "pool", replicas=3)], engines(), world.states, budget, 1.0)
+        del simulated.states[name]
+    orders = plan([Model("m", "2", "pool", replicas=3)], engines(), simulated.states, budget, 1.0)
     assert not {o.target for o in orders} & set(names)
     assert orders == []
 
 
-def test_one_engine_loads_at_a_time_in_a_place():
+def test_one_engine_per_data_centre_loads_at_a_time():
     states = {t.name: EngineState(t.name) for t in engines()}
     states["north-0"] = EngineState("north-0", loading=frozenset([NEW]))
     budget = LoadBudget(rate=1000.0)
--- a/tests/systems/test_owners.py
+++ b/tests/systems/test_owners.py
@@ -1,4 +1,4 @@
-"""Every target is asked by two gateways, or by all where there are few."""
+"""Every target is probed by two gateways, or by all gateways if there are few targets."""
 
 import pytest
 
@@ -9,13 +9,15 @@
 @pytest.mark.parametrize(
     "targets", [0, 5, MAX_TARGETS_PROBED_BY_ALL, MAX_TARGETS_PROBED_BY_ALL + 1, 58, 640]
 )
-def test_each_target_has_its_askers(targets, gateways):
+def test_each_target_has_its_probers(targets, gateways):
     names = [f"t{n}" for n in range(targets)]
-    askers = [f"g{n}" for n in range(gateways)]
-    lists = [owned(names, askers, own) for own in askers]
-    wanted = gateways if targets <= MAX_TARGETS_PROBED_BY_ALL else min(PROBERS_PER_TARGET, gateways)
+    probers = [f"g{n}" for n in range(gateways)]
+    assignments = [owned(names, probers, own) for own in probers]
+    expected_count = (
+        gateways if targets <= MAX_TARGETS_PROBED_BY_ALL else min(PROBERS_PER_TARGET, gateways)
+    )
     for name in names:
-        assert sum(name in asked for asked in lists) == wanted
+        assert sum(name in probed for probed in assignments) == expected_count
     if targets > MAX_TARGETS_PROBED_BY_ALL:
-        sizes = [len(asked) for asked in lists]
+        sizes = [len(probed) for probed in assignments]
         assert max(sizes) - min(sizes) <= PROBERS_PER_TARGET
--- a/tests/systems/test_rests.py
+++ b/tests/systems/test_rests.py
@@ -1,4 +1,4 @@
-"""What each value of Retry-After asks for."""
+"""The backoff period for each form of Retry-After value."""
 
 import pytest
 from hypothesis import given
@@ -36,18 +36,18 @@
         (["3, 5"], 0.0),
     ],
 )
-def test_values(values, seconds):
+def test_retry_after_values(values, seconds):
     assert rest_seconds(values) == seconds
 
 
-def test_date_counts_from_the_date_of_the_answer():
+def test_date_is_relative_to_the_date_of_the_response():
     assert rest_seconds(["Tue, 08 Jul 2026 10:00:07 GMT"], DATE) == 7.0
     assert rest_seconds(["Tue, 08 Jul 2026 09:00:00 GMT"], DATE) == 0.0
     assert rest_seconds(["Tue, 08 Jul 2036 09:00:00 GMT"], DATE) == MAX_BACKOFF_SECONDS
 
 
 @pytest.mark.parametrize("date", [None, "", "today", "Tue, 08 Jul 2026 10:00:00"])
-def test_date_without_a_date_to_count_from_asks_for_nothing(date):
+def test_date_without_a_valid_response_date_is_ignored(date):
     assert rest_seconds(["Tue, 08 Jul 2026 10:00:07 GMT"], date) == 0.0
 
 
@@ -58,5 +58,5 @@
 
 
 @given(st.lists(st.one_of(st.text(), NUMBERS, DATES), max_size=3), st.one_of(st.none(), DATES))
-def test_whatever_is_written_asks_for_a_time_within_the_longest(values, date):
+def test_result_is_bounded_for_any_value(values, date):
     assert 0.0 <= rest_seconds(values, date) <= MAX_BACKOFF_SECONDS
--- a/tests/systems/test_target_limits.py
+++ b/tests/systems/test_target_limits.py
@@ -1,4 +1,4 @@
-"""What the values of the header of limited targets mean."""
+"""Parsing of the header in which targets announce their rate limit."""
 
 import pytest
 
@@ -12,25 +12,25 @@
         (["0.25"], 0.25),
         ([" 20 "], 20.0),
         (["1e9"], 1e9),
-        # Only an answer can tell that it takes more again, so a few go there all the same.
+        # Only a response can announce a higher limit, so a minimum rate remains.
         (["0"], MIN_PER_SECOND),
         (["-0.0"], MIN_PER_SECOND),
         (["0.001"], MIN_PER_SECOND),
-        # Of several the lowest; what can't be read beside one that can counts for nothing.
+        # The lowest of several values applies; invalid values among valid ones are ignored.
         (["5", "2"], 2.0),
         (["x", "2"], 2.0),
         (["inf", "3"], 3.0),
     ],
 )
-def test_number_is_what_it_takes_a_second(values, per_second):
+def test_number_is_the_limit_per_second(values, per_second):
     assert read_limit(values).per_second == per_second
 
 
 @pytest.mark.parametrize("values", [[], ["inf"], ["Infinity"]])
-def test_no_value_and_infinity_say_any_number(values):
+def test_no_value_and_infinity_mean_no_limit(values):
     assert read_limit(values) == ANY_NUMBER
 
 
 @pytest.mark.parametrize("value", ["", "nan", "-1", "-inf", "many", "0,5", "1, 2", "1_0", "0x1"])
-def test_what_can_not_be_read_says_nothing(value):
+def test_invalid_value_is_ignored(value):
     assert read_limit([value]) is None
--- a/tests/tables/test_asked.py
+++ b/tests/tables/test_asked.py
@@ -1,4 +1,4 @@
-"""What a target has asked for holds, and is over when it said."""
+"""Backoff requests of a target are honoured until their end."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -9,8 +9,8 @@
 
 
 @given(st.lists(st.tuples(st.floats(0.0, 50.0), seconds), min_size=1, max_size=8))
-def test_the_latest_end_that_was_asked_for_holds(rests):
-    """A rest that is asked for later but ends sooner shortens nothing."""
+def test_latest_requested_end_applies(rests):
+    """A later request with an earlier end doesn't shorten the backoff period."""
     asked = Asked()
     for now, wanted in sorted(rests):
         asked.ask_rest(wanted, "", now)
@@ -19,7 +19,7 @@
     assert asked.rests(end - 0.001) and not asked.rests(end)
 
 
-def test_few_requests_are_first_after_a_rest_until_one_is_answered():
+def test_few_requests_are_sent_after_a_backoff_until_one_succeeds():
     asked = Asked()
     asked.ask_rest(1.0, "r", 0.0)
     assert not asked.may_get_work(0.9)
@@ -34,7 +34,7 @@
     assert (asked.first, asked.on_sent()) == (0, False)
 
 
-def test_first_requests_that_were_given_up_make_room_for_others():
+def test_cancelled_requests_after_a_backoff_free_their_places():
     asked = Asked()
     asked.ask_rest(1.0, "r", 0.0)
     for _ in range(20):
@@ -42,15 +42,15 @@
         asked.on_over(asked.on_sent())
 
 
-def test_answer_that_comes_in_a_rest_ends_nothing():
-    """It was given to a request that had come before."""
+def test_response_during_a_backoff_does_not_end_it():
+    """The response belongs to a request from before the backoff period."""
     asked = Asked()
     asked.ask_rest(1.0, "r", 0.0)
     asked.on_answer(0.5)
     assert asked.is_returning and asked.rests(0.9)
 
 
-def test_one_that_leaves_does_so_for_good():
+def test_leaving_is_permanent():
     asked = Asked(leaves=True)
     asked.ask_rest(1.0, "r", 0.0)
     asked.lift()
@@ -58,7 +58,7 @@
     assert not asked.may_get_work(100.0)
 
 
-def test_a_lifted_rest_is_over():
+def test_lifted_backoff_is_over():
     asked = Asked()
     assert not asked.lift()
     asked.ask_rest(1.0, "r", 0.0)
--- a/tests/tables/test_changes.py
+++ b/tests/tables/test_changes.py
@@ -1,11 +1,11 @@
-"""What changed since a version: told exactly or not at all, in bounded memory."""
+"""The changes since a version are exact, or unknown; memory is bounded."""
 
 import sys
 
 from traystall.tables.changes import REMEMBERED_DROPS, ChangeLog
 
 
-def test_newest_fate_of_each_identity_is_told():
+def test_latest_event_of_each_identity_is_returned():
     log = ChangeLog()
     for act, identity in (("change", "a"), ("change", "b"), ("drop", "a"), ("change", "c")):
         getattr(log, act)(identity)
@@ -16,20 +16,20 @@
     assert log.since(log.version) == ([], [])
 
 
-def test_version_that_was_never_counted_here_is_not_answered():
+def test_unknown_version_returns_none():
     log = ChangeLog()
     log.change("a")
     assert log.since(0) is None
     assert log.since(log.version + 1) is None
 
 
-def test_drops_are_forgotten_in_their_order_and_the_forgetting_is_known():
+def test_oldest_drops_are_discarded_first_and_detected():
     log = ChangeLog(remembered_drops=2)
     for identity in "abc":
         log.change(identity)
     for identity in "abc":
         log.drop(identity)
-    # The drop of "a" made version 5; who knows of it needs only the other two.
+    # The drop of "a" is version 5; a subscriber at that version needs only the other two.
     assert log.since(4) is None
     assert log.since(5) == ([], ["c", "b"])
 
