--- a/traystall/permits/news.py
+++ b/traystall/permits/news.py
@@ -72,14 +72,14 @@
         """Return the target incarnations whose limits each gateway should receive."""
         own = self._permits.identity
         found: dict[str, list[str]] = {}
-        heard, self._permits.heard = self._permits.heard, set()
+        undistributed, self._permits.undistributed = self._permits.undistributed, set()
         for life, limit in list(limits.items()):
             lenders = self._permits.ranks.lenders(life, self._data_centre_of(life))
             if lenders and own == lenders[0]:
                 others = [name for name in self._sent if name != own]
                 recipients = [n for n in others if self._needs_update(n, life, limit.per_second)]
             else:
-                recipients = [n for n in lenders if n != own] if life in heard else []
+                recipients = [n for n in lenders if n != own] if life in undistributed else []
             for name in recipients:
                 found.setdefault(name, []).append(life)
         return found
@@ -97,7 +97,7 @@
             await self._links.link(row.rpc_address).send(message)
         except RpcError as error:
             logger.info("limits not sent", extra={"peer": row.identity, "why": str(error)})
-            self._permits.heard.update(lives)
+            self._permits.undistributed.update(lives)
             return
         self._retry_at.pop(row.identity, None)
         sent = self._sent.setdefault(row.identity, {})
--- a/traystall/permits/permits.py
+++ b/traystall/permits/permits.py
@@ -84,7 +84,7 @@
         self._lender_retry_at: dict[str, float] = {}
         self._tasks: set[asyncio.Task] = set()
         # Incarnations whose limit changed in a response to this gateway and isn't distributed yet.
-        self.heard: set[str] = set()
+        self.undistributed: set[str] = set()
 
     # ---- known limits ----
 
@@ -121,7 +121,7 @@
             self._announced[life] = limit
             self._log_change(life, before, limit)
         if changed or (announced.per_second is None and limit.confirm_end(sent_at)):
-            self.heard.add(life)
+            self.undistributed.add(life)
 
     def take_news(self, news: LimitNews) -> None:
         """Merge the limits that another gateway sent."""
@@ -135,15 +135,15 @@
         self._unknown_since = {life: self._unknown_since.get(life, now) for life in unknown}
         for life, since in list(self._unknown_since.items()):
             if now - since > _UNKNOWN_RETENTION_SECONDS:
-                self.heard.discard(life)
+                self.undistributed.discard(life)
                 for held in (self._limits, self._announced, self._schedules):
                     held.pop(life, None)
 
     def record(self, life: str) -> TargetLimitRecord:
         """Return the limit of an incarnation as a record for another gateway."""
         limit = self.limit(life)
-        said_at = limit.sent_at if limit.is_limited else limit.ended_at
-        age = clock.monotonic() - said_at
+        announced_at = limit.sent_at if limit.is_limited else limit.ended_at
+        age = clock.monotonic() - announced_at
         return TargetLimitRecord(life=life, per_second=limit.per_second, age=age)
 
     def _merge_record(self, record, sender):
@@ -225,8 +225,8 @@
             return True
         if permit is None or permit.life != life:
             return False
-        is_void = permit.per_second > limit.per_second * _VOID_FACTOR
-        return not is_void and clock.monotonic() <= permit.valid_until
+        is_invalidated = permit.per_second > limit.per_second * _VOID_FACTOR
+        return not is_invalidated and clock.monotonic() <= permit.valid_until
 
     async def _request_permit(self, lender, request) -> PermitReply | None:
         if lender == self.identity:
@@ -242,10 +242,10 @@
             decision("lender-silent", lender=lender, target=request.known.life, why=str(error))
             return None
 
-    def _permit_from(self, limit, lender, reply, asked_at) -> Permit:
+    def _permit_from(self, limit, lender, reply, requested_at) -> Permit:
         """Return the permit of a reply; its validity is relative to the time of the request."""
         known = reply.known
-        valid_from = asked_at + reply.wait
+        valid_from = requested_at + reply.wait
         # A lender without a limit has more recent information than this gateway.
         per_second = known.per_second or limit.per_second or 0.0
         return Permit(
--- a/traystall/permits/ranks.py
+++ b/traystall/permits/ranks.py
@@ -25,15 +25,15 @@
 
     since: float
     members: tuple[tuple[str, str], ...]
-    orders: dict[tuple[str, str], list[str]] = {}
+    lenders_by_target: dict[tuple[str, str], list[str]] = {}
 
-    def order(self, life, data_centre):
-        found = self.orders.get((life, data_centre))
+    def lenders_for(self, life, data_centre):
+        found = self.lenders_by_target.get((life, data_centre))
         if found is None:
             names = [name for name, place in self.members if place == data_centre]
             names = names or [name for name, _ in self.members]
             found = rendezvous_order(f"limit {life}", names)[:_LENDER_COUNT]
-            self.orders[life, data_centre] = found
+            self.lenders_by_target[life, data_centre] = found
         return found
 
 
@@ -48,32 +48,32 @@
     def note(self, rows: Iterable[GatewayRow], now: float) -> None:
         """Update the membership; with an empty directory this gateway is the only member."""
         rows = list(rows)
-        able = [row for row in rows if row.state == "serving" and row.lends]
-        members = tuple(sorted((row.identity, row.data_centre) for row in able))
+        eligible = [row for row in rows if row.state == "serving" and row.lends]
+        members = tuple(sorted((row.identity, row.data_centre) for row in eligible))
         if not rows:
             members = ((self._own, ""),)
         if not self._views or self._views[-1].members != members:
             self._views.append(_MembershipView(now, members))
-        self._forget(now)
+        self._remove_old_views(now)
 
     def lenders(self, life: str, data_centre: str) -> list[str]:
         """Return the names of the two lenders in the order of their rank."""
-        return self._views[-1].order(life, data_centre) if self._views else []
+        return self._views[-1].lenders_for(life, data_centre) if self._views else []
 
     def part(self, life: str, data_centre: str, now: float) -> float:
         """Return the share of the limit that this gateway may grant now.
 
         It is the share that its rank gave it in every view of the last `settle_seconds`.
         """
-        self._forget(now)
+        self._remove_old_views(now)
         if not self._views or self._views[0].since > now - self._settle_seconds:
             return 0.0
-        orders = [view.order(life, data_centre) for view in self._views]
-        if all(order[:1] == [self._own] for order in orders):
+        rankings = [view.lenders_for(life, data_centre) for view in self._views]
+        if all(ranking[:1] == [self._own] for ranking in rankings):
             return FIRST_PART
-        return SECOND_PART if all(self._own in order for order in orders) else 0.0
+        return SECOND_PART if all(self._own in ranking for ranking in rankings) else 0.0
 
-    def _forget(self, now):
+    def _remove_old_views(self, now):
         """Remove views that were replaced before the last `settle_seconds`."""
         while len(self._views) > 1 and self._views[1].since <= now - self._settle_seconds:
             self._views.pop(0)
--- a/traystall/systems/admission.py
+++ b/traystall/systems/admission.py
@@ -22,11 +22,11 @@
 
 def admit(times: TimeTable, pipeline: Pipeline, deadline: float, now: float) -> Admission:
     """Refuse a request only if even the fastest recent calls would miss its deadline."""
-    least = least_time(times, pipeline, 0, now)
+    minimum = least_time(times, pipeline, 0, now)
     remaining = deadline - now
-    if remaining > 0 and least <= remaining:
+    if remaining > 0 and minimum <= remaining:
         return Admission(True)
-    why = f"{remaining:.3f} s are left and the stages need {least:.3f} s at least"
+    why = f"{remaining:.3f} s are left and the stages need {minimum:.3f} s at least"
     return Admission(False, why, retry_after_seconds(0.0))
 
 
--- a/traystall/systems/breakers.py
+++ b/traystall/systems/breakers.py
@@ -26,7 +26,7 @@
 def on_success(breaker: Breaker) -> None:
     """Close the breaker."""
     breaker.failures = 0
-    breaker.opened = 0
+    breaker.open_count = 0
     breaker.probing = False
 
 
@@ -41,6 +41,6 @@
     breaker.probing = False
     if breaker.failures < FAILURES_TO_OPEN:
         return
-    seconds = min(MAX_OPEN_SECONDS, FIRST_OPEN_SECONDS * 2**breaker.opened)
-    breaker.opened += 1
+    seconds = min(MAX_OPEN_SECONDS, FIRST_OPEN_SECONDS * 2**breaker.open_count)
+    breaker.open_count += 1
     breaker.open_until = now + seconds * random.uniform(0.75, 1.25)
--- a/traystall/systems/limits.py
+++ b/traystall/systems/limits.py
@@ -141,13 +141,13 @@
                 row.lent = [*row.lent, PermitLoan(permits, until)]
         return Loan(tokens, permits, LOAN_SECONDS)
 
-    def borrow(self, customer: str, loan: Loan, asked_at: float) -> None:
+    def borrow(self, customer: str, loan: Loan, requested_at: float) -> None:
         """Add a neighbour's loan; `asked_at` is when the request was sent to it."""
         row = self._rows[customer]
         row.tokens += loan.tokens
         if loan.permits:
             # The lender's period starts with its reply, which is later than the request.
-            until = asked_at + loan.seconds * (1 - CLOCK_DRIFT)
+            until = requested_at + loan.seconds * (1 - CLOCK_DRIFT)
             row.borrowed = [*row.borrowed, PermitLoan(loan.permits, until)]
 
     def _permits(self, row, customer, index, count, now, needed_until):
--- a/traystall/systems/orders.py
+++ b/traystall/systems/orders.py
@@ -88,11 +88,11 @@
 
 
 def _load_order(model, wanted, known, budget, now):
-    lacking = [state for state in known if wanted not in state.ready]
-    if not lacking or not budget.take(now):
+    missing = [state for state in known if wanted not in state.ready]
+    if not missing or not budget.take(now):
         return None
     # The engine with the fewest models, then the first by name, so that replicas spread.
-    engine = min(lacking, key=lambda state: (len(state.ready), state.target))
+    engine = min(missing, key=lambda state: (len(state.ready), state.target))
     models = tuple(sorted({*engine.ready, wanted}))
     return Order(engine.target, models, f"load {model.name} {model.version}")
 
--- a/traystall/systems/repair.py
+++ b/traystall/systems/repair.py
@@ -76,11 +76,11 @@
 
 
 def _remove_silent(view):
-    heard = [m for m in view.members if m.voter and m.identity not in view.silent]
+    responding = [m for m in view.members if m.voter and m.identity not in view.silent]
     for member in view.members:
         if member.identity not in view.silent or member.identity == view.own_identity:
             continue
-        if len(heard) >= MIN_VOTERS:
+        if len(responding) >= MIN_VOTERS:
             return _without(view, member.identity)
     return None
 
--- a/traystall/systems/routing.py
+++ b/traystall/systems/routing.py
@@ -3,8 +3,7 @@
 The score of a target is this gateway's attempts in flight there plus a small
 constant, multiplied by the target's service time relative to its pool. All
 candidates are scanned and ties are broken at random. The load that targets
-report is out of date on arrival, so targets are never ranked by it; a target
-that refuses work as full only loses bulk work, by `traystall.systems.windows`.
+report is out of date on arrival, so targets are never ranked by it.
 """
 
 import msgspec
--- a/traystall/systems/shares.py
+++ b/traystall/systems/shares.py
@@ -36,10 +36,10 @@
     """
     if not has_quick_work and quick_slots < NEGLIGIBLE_SLOTS:
         return frozenset()
-    able = [target for target in targets if target.slots > 1]
-    places = {target.data_centre for target in able}
-    wanted = max(len(places), _power_of_two(quick_slots * QUICK_MARGIN))
-    return frozenset(target.name for target in _spread(able)[:wanted])
+    eligible = [target for target in targets if target.slots > 1]
+    places = {target.data_centre for target in eligible}
+    reserved_count = max(len(places), _power_of_two(quick_slots * QUICK_MARGIN))
+    return frozenset(target.name for target in _interleave(eligible)[:reserved_count])
 
 
 def deal(
@@ -61,7 +61,7 @@
     return {name: Share(part, name in kept) for name, part in parts.items()}
 
 
-def _spread(targets):
+def _interleave(targets):
     """Return the targets in an order that alternates between the data centres."""
     seen: dict[str, int] = {}
     ranked = []
--- a/traystall/tables/targets.py
+++ b/traystall/tables/targets.py
@@ -27,7 +27,7 @@
     """State of a circuit breaker; while it is open, only a single probe is sent."""
 
     failures: int = 0
-    opened: int = 0
+    open_count: int = 0
     open_until: float = float("-inf")
     probing: bool = False
 
