--- a/tests/permits/test_news.py
+++ b/tests/permits/test_news.py
@@ -3,8 +3,8 @@
 import asyncio
 
 from tests.support.lending import LIFE, PLACE, LendingSite, clock_of
-from traystall.permits.news import LimitTeller
-from traystall.systems.target_limits import ANY_NUMBER, LimitWord
+from traystall.permits.broadcast import LimitBroadcaster
+from traystall.systems.target_limits import UNLIMITED, AnnouncedLimit
 
 
 class BroadcastSite:
@@ -13,7 +13,7 @@
     def __init__(self, monkeypatch, count):
         self.site = LendingSite(clock_of(monkeypatch), count, None)
         self.broadcasters = [
-            LimitTeller(
+            LimitBroadcaster(
                 permits, permits.links, lambda: self.site.rows, lambda life: PLACE, lambda: {LIFE}
             )
             for permits in self.site.gateways.values()
@@ -38,12 +38,14 @@
 def test_all_gateways_know_a_limit_and_its_end_within_three_intervals(monkeypatch):
     async def scenario():
         broadcast_site = BroadcastSite(monkeypatch, 24)
-        broadcast_site.non_lender().hear(LIFE, LimitWord(2.0), broadcast_site.site.now, "r")
+        broadcast_site.non_lender().observe_answer(
+            LIFE, AnnouncedLimit(2.0), broadcast_site.site.now, "r"
+        )
         for _ in range(3):
             await broadcast_site.run_interval()
         assert broadcast_site.known() == {2.0}
         broadcast_site.site.now += 2.0
-        broadcast_site.non_lender().hear(LIFE, ANY_NUMBER, broadcast_site.site.now, "r")
+        broadcast_site.non_lender().observe_answer(LIFE, UNLIMITED, broadcast_site.site.now, "r")
         for _ in range(3):
             await broadcast_site.run_interval()
         assert broadcast_site.known() == {None}
@@ -56,14 +58,16 @@
         broadcast_site = BroadcastSite(monkeypatch, 9)
         await broadcast_site.run_interval()
         assert broadcast_site.site.messages == 0
-        broadcast_site.non_lender().hear(LIFE, LimitWord(2.0), broadcast_site.site.now, "r")
+        broadcast_site.non_lender().observe_answer(
+            LIFE, AnnouncedLimit(2.0), broadcast_site.site.now, "r"
+        )
         for _ in range(3):
             await broadcast_site.run_interval()
         sent = broadcast_site.site.messages
         for step in range(10):
             # Small changes are only part of permit replies.
-            broadcast_site.non_lender().hear(
-                LIFE, LimitWord(2.0 + step / 10), broadcast_site.site.now, "r"
+            broadcast_site.non_lender().observe_answer(
+                LIFE, AnnouncedLimit(2.0 + step / 10), broadcast_site.site.now, "r"
             )
             await broadcast_site.run_interval()
         assert sent <= 2 + 8
@@ -78,7 +82,7 @@
         cut = broadcast_site.non_lender()
         broadcast_site.site.cut.add(cut.identity)
         lender = broadcast_site.site.gateways[broadcast_site.site.lenders()[0]]
-        lender.hear(LIFE, LimitWord(2.0), broadcast_site.site.now, "r")
+        lender.observe_answer(LIFE, AnnouncedLimit(2.0), broadcast_site.site.now, "r")
         for _ in range(3):
             await broadcast_site.run_interval()
         assert not cut.limit(LIFE).is_limited
@@ -98,8 +102,8 @@
         for row in broadcast_site.site.rows:
             row.lends = row.identity != old.identity
         broadcast_site.site.review()
-        broadcast_site.site.gateways[broadcast_site.site.lenders()[0]].hear(
-            LIFE, LimitWord(2.0), broadcast_site.site.now, "r"
+        broadcast_site.site.gateways[broadcast_site.site.lenders()[0]].observe_answer(
+            LIFE, AnnouncedLimit(2.0), broadcast_site.site.now, "r"
         )
         for _ in range(5):
             await broadcast_site.run_interval()
--- a/tests/permits/test_ranks.py
+++ b/tests/permits/test_ranks.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from traystall.permits.ranks import SETTLE_SECONDS, LenderRanks
+from traystall.permits.lenders import SETTLE_SECONDS, LenderRanking
 from traystall.systems.permits import FIRST_PART, SECOND_PART
 from traystall.tables.gateways import GatewayRow
 
@@ -18,7 +18,7 @@
 
 
 def settled_ranking(own, rows):
-    ranks = LenderRanks(own)
+    ranks = LenderRanking(own)
     ranks.note(rows, 0.0)
     ranks.note(rows, SETTLE_SECONDS)
     return ranks
@@ -54,7 +54,7 @@
 
 
 def test_new_gateway_grants_nothing_until_its_view_settles():
-    ranks = LenderRanks("g-0")
+    ranks = LenderRanking("g-0")
     assert ranks.part(LIFE, "here", 0.0) == 0.0
     ranks.note([row("g-0")], 0.0)
     assert ranks.part(LIFE, "here", SETTLE_SECONDS - 0.1) == 0.0
@@ -78,7 +78,7 @@
     source = random.Random(seed)
     rows = {f"g-{n}": row(f"g-{n}") for n in range(6)}
     running, now = dict.fromkeys(rows, 0.0), 0.0
-    ranks = {name: LenderRanks(name) for name in rows}
+    ranks = {name: LenderRanking(name) for name in rows}
     pending = [(0.0, name, tuple(rows)) for name in rows]
     highest = 0.0
     while now < 120.0:
@@ -88,7 +88,7 @@
             if len(running) > 2:
                 del running[stopped], ranks[stopped]
             new = f"g-{now}"
-            running[new], ranks[new] = now, LenderRanks(new)
+            running[new], ranks[new] = now, LenderRanking(new)
             members = tuple(running)
             pending += [(now + source.uniform(0, _LAG_SECONDS), n, members) for n in running]
         for at, name, members in [entry for entry in pending if entry[0] <= now]:
--- a/tests/systems/test_limits.py
+++ b/tests/systems/test_limits.py
@@ -23,14 +23,14 @@
 def test_shares_sum_to_the_limit(inside, whole, surplus):
     """The sum also holds with more gateways than declared and without any communication."""
     customer = Customer("x", tuple(sorted(inside)), Limits(rate=float(whole), concurrency=whole))
-    count = limits.gateways_inside(customer, DATA_CENTRES)
+    count = limits.count_gateways(customer, DATA_CENTRES)
     running = [
         (place.name, index)
         for place in DATA_CENTRES
         if place.name in inside
         for index in range(place.gateways + surplus)
     ]
-    positions = [limits.position_inside(customer, DATA_CENTRES, *gateway) for gateway in running]
+    positions = [limits.gateway_position(customer, DATA_CENTRES, *gateway) for gateway in running]
     assert len([p for p in positions if p < count]) == len({p for p in positions if p < count})
     assert sum(limits.rate_share(whole, p, count) for p in positions) <= whole + 1e-9
     assert sum(limits.concurrency_share(whole, p, count) for p in positions) == whole
@@ -70,7 +70,7 @@
             running.append((now + seconds, at))
         else:
             lender = (at + rng.choice((1, 2))) % 3
-            loan = gateways[lender].lend(
+            loan = gateways[lender].grant(
                 customer, lender, 3, now + offsets[lender], limits.Loan(8.0, 4)
             )
             if not (replies_get_lost and rng.random() < 0.5):
@@ -92,7 +92,7 @@
     while one.admit(customer, 0, 2, 0.0, 1.0).within:
         pass
     for _ in range(4):
-        loan = other.lend(customer, 1, 2, 0.0, limits.Loan(8.0, 4))
+        loan = other.grant(customer, 1, 2, 0.0, limits.Loan(8.0, 4))
         one.borrow("x", loan, 0.0)
     borrowed_count = 0
     while one.admit(customer, 0, 2, 0.0, 1.0).within:
--- a/tests/systems/test_orders.py
+++ b/tests/systems/test_orders.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from traystall.systems.orders import EngineState, LoadBudget, Loaded, plan
+from traystall.systems.orders import EngineState, LoadBudget, LoadedModel, plan
 from traystall.tables.entities import Kind, Model, Target
 
-OLD, NEW = Loaded("m", "1"), Loaded("m", "2")
+OLD, NEW = LoadedModel("m", "1"), LoadedModel("m", "2")
 DATA_CENTRES = ("north", "south")
 
 
--- a/tests/systems/test_owners.py
+++ b/tests/systems/test_owners.py
@@ -2,7 +2,11 @@
 
 import pytest
 
-from traystall.systems.owners import MAX_TARGETS_PROBED_BY_ALL, PROBERS_PER_TARGET, owned
+from traystall.systems.probe_assignment import (
+    MAX_TARGETS_PROBED_BY_ALL,
+    PROBERS_PER_TARGET,
+    assigned_targets,
+)
 
 
 @pytest.mark.parametrize("gateways", [1, 2, 9, 35])
@@ -12,7 +16,7 @@
 def test_each_target_has_its_probers(targets, gateways):
     names = [f"t{n}" for n in range(targets)]
     probers = [f"g{n}" for n in range(gateways)]
-    assignments = [owned(names, probers, own) for own in probers]
+    assignments = [assigned_targets(names, probers, own) for own in probers]
     expected_count = (
         gateways if targets <= MAX_TARGETS_PROBED_BY_ALL else min(PROBERS_PER_TARGET, gateways)
     )
--- a/tests/systems/test_permits.py
+++ b/tests/systems/test_permits.py
@@ -30,7 +30,7 @@
             now += source.expovariate(limit * 8)
             patience = source.choice((0.0, 0.0, 0.5))
             spare = source.random() < 0.1
-            loan = schedule.lend(limit * part, f"g-{source.randrange(9)}", patience, spare, now)
+            loan = schedule.grant(limit * part, f"g-{source.randrange(9)}", patience, spare, now)
             if loan.is_granted and source.random() < 0.1:
                 schedule.give_back(now + loan.wait, now)
             elif loan.is_granted:
@@ -43,7 +43,7 @@
     """A target that also counts connections counted 12 where 7 requests were sent."""
     schedule, now, sent = PermitSchedule(), 0.0, []
     while now < 20.0:
-        loan = schedule.lend(limit * FIRST_PART, "g", 0.0, False, now)
+        loan = schedule.grant(limit * FIRST_PART, "g", 0.0, False, now)
         sent += [now] if loan.is_granted else []
         now += 0.01 / max(1.0, limit / 10)
     assert 2 * max_in_window(sent) <= max_allowed(limit)
@@ -54,7 +54,7 @@
     slots = [
         loan.wait
         for _ in range(30)
-        if (loan := schedule.lend(5.0, "g", 4.0, False, 0.0)).is_granted
+        if (loan := schedule.grant(5.0, "g", 4.0, False, 0.0)).is_granted
     ]
     assert slots == pytest.approx([n / 5 for n in range(21)], abs=0.11)
 
@@ -62,44 +62,44 @@
 def test_denied_request_gets_the_time_of_the_next_permit():
     schedule = PermitSchedule()
     for _ in range(3):
-        assert schedule.lend(1.0, "g", 2.0, False, 10.0).is_granted
-    loan = schedule.lend(1.0, "g", 2.0, False, 10.0)
+        assert schedule.grant(1.0, "g", 2.0, False, 10.0).is_granted
+    loan = schedule.grant(1.0, "g", 2.0, False, 10.0)
     assert not loan.is_granted
     assert loan.wait == pytest.approx(2.9, abs=0.11)
 
 
 def test_optional_work_gets_only_unused_capacity():
     schedule = PermitSchedule()
-    assert schedule.lend(1.0, "g", 0.0, False, 10.0).is_granted
-    assert not schedule.lend(1.0, "g", 0.0, True, 11.0).is_granted
-    assert schedule.lend(1.0, "g", 0.0, True, 12.1).is_granted
+    assert schedule.grant(1.0, "g", 0.0, False, 10.0).is_granted
+    assert not schedule.grant(1.0, "g", 0.0, True, 11.0).is_granted
+    assert schedule.grant(1.0, "g", 0.0, True, 12.1).is_granted
 
 
 def test_returned_permit_is_granted_again():
     schedule = PermitSchedule()
-    waits = [schedule.lend(1.0, "g", 5.0, False, 10.0).wait for _ in range(3)]
+    waits = [schedule.grant(1.0, "g", 5.0, False, 10.0).wait for _ in range(3)]
     schedule.give_back(10.0 + waits[1], 10.1)
-    loan = schedule.lend(1.0, "h", 1.0, False, 10.2)
+    loan = schedule.grant(1.0, "h", 1.0, False, 10.2)
     assert loan.is_granted
     assert 10.2 + loan.wait == pytest.approx(10.0 + waits[1])
 
 
 def test_expired_permit_is_not_granted_again():
     schedule = PermitSchedule()
-    schedule.lend(1.0, "g", 0.0, False, 10.0)
+    schedule.grant(1.0, "g", 0.0, False, 10.0)
     schedule.give_back(10.0, 10.5)
-    assert not schedule.lend(1.0, "g", 0.0, False, 10.6).is_granted
+    assert not schedule.grant(1.0, "g", 0.0, False, 10.6).is_granted
 
 
 def test_changed_limit_applies_at_once():
     schedule = PermitSchedule()
-    schedule.lend(0.1, "g", 0.0, False, 10.0)
-    assert schedule.lend(50.0, "g", 0.0, False, 10.1).is_granted
-    assert not schedule.lend(0.5, "g", 0.0, False, 10.2).is_granted
+    schedule.grant(0.1, "g", 0.0, False, 10.0)
+    assert schedule.grant(50.0, "g", 0.0, False, 10.1).is_granted
+    assert not schedule.grant(0.5, "g", 0.0, False, 10.2).is_granted
 
 
 def test_spread_grows_with_the_number_of_requesters():
     schedule = PermitSchedule()
-    loans = [schedule.lend(1.0, f"g-{n}", 0.0, False, 10.0) for n in range(5)]
+    loans = [schedule.grant(1.0, f"g-{n}", 0.0, False, 10.0) for n in range(5)]
     assert [loan.is_granted for loan in loans] == [True] + [False] * 4
     assert loans[-1].spread == pytest.approx(2.0)
--- a/tests/systems/test_rests.py
+++ b/tests/systems/test_rests.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from traystall.systems.rests import MAX_BACKOFF_SECONDS, rest_seconds
+from traystall.systems.retry_after import MAX_BACKOFF_SECONDS, parse_retry_after
 
 DATE = "Tue, 08 Jul 2026 10:00:00 GMT"
 
@@ -37,18 +37,18 @@
     ],
 )
 def test_retry_after_values(values, seconds):
-    assert rest_seconds(values) == seconds
+    assert parse_retry_after(values) == seconds
 
 
 def test_date_is_relative_to_the_date_of_the_response():
-    assert rest_seconds(["Tue, 08 Jul 2026 10:00:07 GMT"], DATE) == 7.0
-    assert rest_seconds(["Tue, 08 Jul 2026 09:00:00 GMT"], DATE) == 0.0
-    assert rest_seconds(["Tue, 08 Jul 2036 09:00:00 GMT"], DATE) == MAX_BACKOFF_SECONDS
+    assert parse_retry_after(["Tue, 08 Jul 2026 10:00:07 GMT"], DATE) == 7.0
+    assert parse_retry_after(["Tue, 08 Jul 2026 09:00:00 GMT"], DATE) == 0.0
+    assert parse_retry_after(["Tue, 08 Jul 2036 09:00:00 GMT"], DATE) == MAX_BACKOFF_SECONDS
 
 
 @pytest.mark.parametrize("date", [None, "", "today", "Tue, 08 Jul 2026 10:00:00"])
 def test_date_without_a_valid_response_date_is_ignored(date):
-    assert rest_seconds(["Tue, 08 Jul 2026 10:00:07 GMT"], date) == 0.0
+    assert parse_retry_after(["Tue, 08 Jul 2026 10:00:07 GMT"], date) == 0.0
 
 
 NUMBERS = st.one_of(st.integers(), st.floats()).map(str)
@@ -59,4 +59,4 @@
 
 @given(st.lists(st.one_of(st.text(), NUMBERS, DATES), max_size=3), st.one_of(st.none(), DATES))
 def test_result_is_bounded_for_any_value(values, date):
-    assert 0.0 <= rest_seconds(values, date) <= MAX_BACKOFF_SECONDS
+    assert 0.0 <= parse_retry_after(values, date) <= MAX_BACKOFF_SECONDS
--- a/tests/systems/test_target_limits.py
+++ b/tests/systems/test_target_limits.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from traystall.systems.target_limits import ANY_NUMBER, MIN_PER_SECOND, read_limit
+from traystall.systems.target_limits import MIN_PER_SECOND, UNLIMITED, parse_limit
 
 
 @pytest.mark.parametrize(
@@ -23,14 +23,14 @@
     ],
 )
 def test_number_is_the_limit_per_second(values, per_second):
-    assert read_limit(values).per_second == per_second
+    assert parse_limit(values).per_second == per_second
 
 
 @pytest.mark.parametrize("values", [[], ["inf"], ["Infinity"]])
 def test_no_value_and_infinity_mean_no_limit(values):
-    assert read_limit(values) == ANY_NUMBER
+    assert parse_limit(values) == UNLIMITED
 
 
 @pytest.mark.parametrize("value", ["", "nan", "-1", "-inf", "many", "0,5", "1, 2", "1_0", "0x1"])
 def test_invalid_value_is_ignored(value):
-    assert read_limit([value]) is None
+    assert parse_limit([value]) is None
--- a/traystall/permits/news.py
+++ b/traystall/permits/broadcast.py
@@ -24,7 +24,7 @@
 logger = logging.getLogger(__name__)
 
 
-class LimitTeller:
+class LimitBroadcaster:
     """Send known limits: the first lender to every gateway, other gateways to the lenders."""
 
     def __init__(self, permits: Permits, links: LinkPool, rows, data_centre_of, lives):
@@ -39,7 +39,7 @@
         self._retry_at: dict[str, float] = {}
         self._tasks: set[asyncio.Task] = set()
 
-    async def tell_forever(self) -> None:
+    async def run_forever(self) -> None:
         """Distribute limits at a fixed interval and update the lenders."""
         try:
             while True:
@@ -53,7 +53,7 @@
         """Update the lenders and send changed limits to the gateways that need them."""
         rows = [row for row in self._rows() if row.lends]
         now = clock.monotonic()
-        self._permits.note_serving()
+        self._permits.refresh_lenders()
         limits = self._permits.limits()
         if limits:
             self._permits.retain(self._lives())
--- a/traystall/permits/ranks.py
+++ b/traystall/permits/lenders.py
@@ -37,7 +37,7 @@
         return found
 
 
-class LenderRanks:
+class LenderRanking:
     """Rank the gateways, and compute the share of a limit that this one may grant."""
 
     def __init__(self, own: str, settle_seconds: float = SETTLE_SECONDS):
--- a/traystall/permits/permits.py
+++ b/traystall/permits/permits.py
@@ -9,7 +9,7 @@
 from traystall.core.exceptions import RpcError
 from traystall.core.logs import decision
 from traystall.permits.exceptions import PermitDenied
-from traystall.permits.ranks import LenderRanks
+from traystall.permits.lenders import LenderRanking
 from traystall.rpc.client import LinkPool
 from traystall.rpc.gen.wire.ttypes import (
     LimitNews,
@@ -19,7 +19,7 @@
     TargetLimitRecord,
 )
 from traystall.systems.permits import PermitSchedule
-from traystall.systems.target_limits import LimitWord
+from traystall.systems.target_limits import AnnouncedLimit
 from traystall.tables.gateways import GatewayRow
 from traystall.tables.target_limits import TargetLimit
 
@@ -68,12 +68,12 @@
         identity: str,
         rows: Callable[[], Iterable[GatewayRow]],
         random,
-        ranks: LenderRanks | None = None,
+        ranks: LenderRanking | None = None,
     ):
         self.identity = identity
         self.links: LinkPool | None = None
-        self.may_lend = True
-        self.ranks = ranks or LenderRanks(identity)
+        self.may_grant = True
+        self.ranks = ranks or LenderRanking(identity)
         self._rows = rows
         self._random = random
         self._limits: dict[str, TargetLimit] = {}
@@ -92,7 +92,7 @@
         """Return the limit of one incarnation of a target; always the same object."""
         return self._limits.setdefault(life, TargetLimit())
 
-    def adopt(self, life: str, limit: TargetLimit | None) -> TargetLimit:
+    def register_incarnation(self, life: str, limit: TargetLimit | None) -> TargetLimit:
         """Return the limit of a new incarnation, with `limit` if the incarnation announced it.
 
         An incarnation may become known only after its first responses.
@@ -105,11 +105,13 @@
         """Return the limits of all incarnations that have ever announced one, by incarnation."""
         return self._announced
 
-    def lent(self, life: str) -> int:
+    def granted_count(self, life: str) -> int:
         """Return the number of permits granted here for one incarnation of a target."""
         return self._schedules[life].granted_permits if life in self._schedules else 0
 
-    def hear(self, life: str, announced: LimitWord, sent_at: float, request: str) -> None:
+    def observe_answer(
+        self, life: str, announced: AnnouncedLimit, sent_at: float, request: str
+    ) -> None:
         """Apply the limit in a response to a request that was sent at `sent_at`."""
         limit = self.limit(life)
         before = limit.per_second
@@ -123,7 +125,7 @@
         if changed or (announced.per_second is None and limit.confirm_end(sent_at)):
             self.undistributed.add(life)
 
-    def take_news(self, news: LimitNews) -> None:
+    def merge_limits(self, news: LimitNews) -> None:
         """Merge the limits that another gateway sent."""
         for record in news.limits or ():
             self._merge_record(record, news.sender or "")
@@ -163,10 +165,10 @@
             target=life,
             per_second=after,
             before=before,
-            by=limit.told_by,
+            by=limit.source,
         )
 
-    def note_serving(self) -> None:
+    def refresh_lenders(self) -> None:
         """Update the lenders from the current directory of gateways."""
         self.ranks.note(self._rows(), clock.monotonic())
 
@@ -212,7 +214,7 @@
             return
         message = PermitReturn(life=permit.life, left=left)
         if permit.lender == self.identity:
-            self.take_back(message)
+            self.on_permit_returned(message)
         elif self.links is not None:
             address = self._address(permit.lender)
             if address:
@@ -230,7 +232,7 @@
 
     async def _request_permit(self, lender, request) -> PermitReply | None:
         if lender == self.identity:
-            return self.lend(request)
+            return self.grant(request)
         now = clock.monotonic()
         address = self._address(lender)
         if self.links is None or not address or now < self._lender_retry_at.get(lender, 0.0):
@@ -269,12 +271,12 @@
 
     # ---- granting permits ----
 
-    def lend(self, request: PermitRequest) -> PermitReply:
+    def grant(self, request: PermitRequest) -> PermitReply:
         """Handle a permit request of another gateway or of this one."""
         now = clock.monotonic()
         life = request.known.life
         self._merge_record(request.known, request.sender)
-        part = self.ranks.part(life, request.data_centre or "", now) if self.may_lend else 0.0
+        part = self.ranks.part(life, request.data_centre or "", now) if self.may_grant else 0.0
         limit = self.limit(life)
         if not part:
             return PermitReply(lends=False, granted=False, known=self.record(life))
@@ -284,7 +286,7 @@
         schedule = self._schedules.setdefault(life, PermitSchedule())
         rate = limit.per_second * part
         patience = request.patience or 0.0
-        loan = schedule.lend(rate, request.sender, patience, bool(request.spare), now)
+        loan = schedule.grant(rate, request.sender, patience, bool(request.spare), now)
         if loan.is_granted:
             metrics.permits_lent_total.inc({})
         return PermitReply(
@@ -295,7 +297,7 @@
             known=self.record(life),
         )
 
-    def take_back(self, message: PermitReturn) -> None:
+    def on_permit_returned(self, message: PermitReturn) -> None:
         """Handle the return of an unused permit."""
         schedule = self._schedules.get(message.life)
         if schedule is not None:
--- a/traystall/systems/deadlines.py
+++ b/traystall/systems/deadlines.py
@@ -19,7 +19,7 @@
 _UNKNOWN_PATIENCE_RATIO = 0.5
 
 
-def least_time(times: TimeTable, pipeline: Pipeline, from_stage: int, now: float) -> float:
+def minimum_time(times: TimeTable, pipeline: Pipeline, from_stage: int, now: float) -> float:
     """Return the minimum time in seconds of the stages from `from_stage` on; 0 if unknown."""
     total = 0.0
     for stage in pipeline.stages[from_stage:]:
@@ -64,7 +64,7 @@
     return min(remaining, max(_MIN_PATIENCE_SECONDS, known * PATIENCE_FACTOR))
 
 
-def is_hopeless(elapsed: float, done: int, left: int, remaining: float) -> bool:
+def will_miss_deadline(elapsed: float, done: int, left: int, remaining: float) -> bool:
     """Return whether `left` more tokens will take longer than `remaining` seconds.
 
     The estimate uses the pace so far, which includes the time to the first
--- a/traystall/systems/limits.py
+++ b/traystall/systems/limits.py
@@ -51,13 +51,13 @@
     retry_after: float = 0.0
 
 
-def gateways_inside(customer: Customer, data_centres: list[DataCentre]) -> int:
+def count_gateways(customer: Customer, data_centres: list[DataCentre]) -> int:
     """Return the number of declared gateways in the customer's data centres, at least 1."""
     places = set(customer.data_centres)
     return max(1, sum(place.gateways for place in data_centres if place.name in places))
 
 
-def position_inside(
+def gateway_position(
     customer: Customer, data_centres: list[DataCentre], own_data_centre: str, index: int
 ) -> int:
     """Return this gateway's position among those of the customer's data centres.
@@ -73,7 +73,7 @@
         if place.name == own_data_centre:
             # A gateway beyond the declared number has no share, so that the shares don't exceed
             # the limit.
-            return before + index if index < place.gateways else gateways_inside(customer, places)
+            return before + index if index < place.gateways else count_gateways(customer, places)
         before += place.gateways
     return before
 
@@ -125,7 +125,7 @@
         """Record the end of a request of the customer."""
         self._rows[customer].running -= 1
 
-    def lend(self, customer: Customer, index: int, count: int, now: float, wanted: Loan) -> Loan:
+    def grant(self, customer: Customer, index: int, count: int, now: float, wanted: Loan) -> Loan:
         """Transfer up to half of the unused tokens and permits; permits in use stay here."""
         row = self._row(customer, index, count, now)
         tokens = 0.0
--- a/traystall/systems/loads.py
+++ b/traystall/systems/loads.py
@@ -6,7 +6,7 @@
 SAMPLE_SECONDS = 0.1
 
 
-def fold_quick(row: TargetRow, now: float) -> None:
+def sample_quick_load(row: TargetRow, now: float) -> None:
     """Update the average of quick work in flight, at most once per sample period."""
     if now - row.quick_load_at < SAMPLE_SECONDS:
         return
--- a/traystall/systems/permits.py
+++ b/traystall/systems/permits.py
@@ -45,7 +45,7 @@
     granted_permits: int = 0
     requesters: dict[str, float] = {}
 
-    def lend(
+    def grant(
         self, per_second: float, requester: str, patience: float, is_spare: bool, now: float
     ) -> PermitGrant:
         """Grant a permit that is valid within `patience` seconds, or return the time until one.
--- a/traystall/systems/owners.py
+++ b/traystall/systems/probe_assignment.py
@@ -11,7 +11,7 @@
 PROBERS_PER_TARGET = 2
 
 
-def owned(targets: list[str], gateways: list[str], own: str) -> set[str]:
+def assigned_targets(targets: list[str], gateways: list[str], own: str) -> set[str]:
     """Return the names of the targets that the gateway `own` probes."""
     if len(targets) <= MAX_TARGETS_PROBED_BY_ALL:
         return set(targets)
--- a/traystall/systems/queues.py
+++ b/traystall/systems/queues.py
@@ -32,7 +32,7 @@
     next_pool: str = ""
     grant: object = None
     # Whether it is one of the limited attempts sent after its target's backoff period.
-    is_first: bool = False
+    is_recovery_attempt: bool = False
 
 
 class WaitTimes:
--- a/traystall/systems/rests.py
+++ b/traystall/systems/retry_after.py
@@ -6,13 +6,13 @@
 
 RETRY_AFTER = "Retry-After"
 # Status of a response that rejects a request and may request a backoff period.
-TURNED_AWAY = 503
+SERVICE_UNAVAILABLE = 503
 # Longer periods are capped. The longest event in the design goals, a network partition between
 # regions, lasts minutes; one hour covers it and limits the cost of a wrong value.
 MAX_BACKOFF_SECONDS = 3600.0
 
 
-def rest_seconds(values: Iterable[str], date: str | None = None) -> float:
+def parse_retry_after(values: Iterable[str], date: str | None = None) -> float:
     """Return the backoff period in seconds that the values of Retry-After request; 0 for none.
 
     The longest of several values applies. An HTTP date is relative to `date`, the response's Date
--- a/traystall/systems/shares.py
+++ b/traystall/systems/shares.py
@@ -26,7 +26,9 @@
     kept: bool
 
 
-def kept_targets(targets: list[Target], has_quick_work: bool, quick_slots: float) -> frozenset[str]:
+def reserved_targets(
+    targets: list[Target], has_quick_work: bool, quick_slots: float
+) -> frozenset[str]:
     """Return the names of the targets that reserve one slot for quick work.
 
     `has_quick_work` is whether a declared pipeline sends quick work to the
@@ -42,7 +44,7 @@
     return frozenset(target.name for target in _interleave(eligible)[:reserved_count])
 
 
-def deal(
+def divide_slots(
     targets: list[Target], gateways: list[str], own: str, kept: frozenset[str]
 ) -> dict[str, Share]:
     """Return the share of gateway `own` by target name."""
--- a/traystall/systems/speeds.py
+++ b/traystall/systems/speeds.py
@@ -15,7 +15,7 @@
 FAILED_RATIO = 3.0
 
 
-def on_time(row: TargetRow, seconds: float, typical: float | None, now: float) -> None:
+def on_duration(row: TargetRow, seconds: float, typical: float | None, now: float) -> None:
     """Update the ratio with a completed attempt; `typical` is the stage's median time."""
     if typical:
         _update_ratio(row, seconds / typical, _WEIGHT, now)
@@ -27,7 +27,7 @@
         _update_ratio(row, elapsed / typical, _OVERDUE_WEIGHT, now)
 
 
-def is_usual(elapsed: float, typical: float | None) -> bool:
+def is_within_usual_time(elapsed: float, typical: float | None) -> bool:
     """Return whether the elapsed time is still within the range of a healthy target."""
     return typical is not None and elapsed <= typical * FAILED_RATIO
 
--- a/traystall/systems/target_limits.py
+++ b/traystall/systems/target_limits.py
@@ -6,21 +6,21 @@
 import msgspec
 
 # Header of targets that use traystall's own dialect.
-LIMIT = "Traystall-Limit"
+LIMIT_HEADER = "Traystall-Limit"
 # Lower limits are raised to this rate: only a response can announce that the limit has risen.
 MIN_PER_SECOND = 0.1
 
 
-class LimitWord(msgspec.Struct, frozen=True):
+class AnnouncedLimit(msgspec.Struct, frozen=True):
     """The limit that a response announces, in requests a second; None means no limit."""
 
     per_second: float | None
 
 
-ANY_NUMBER = LimitWord(None)
+UNLIMITED = AnnouncedLimit(None)
 
 
-def read_limit(values: Iterable[str]) -> LimitWord | None:
+def parse_limit(values: Iterable[str]) -> AnnouncedLimit | None:
     """Return the limit in the values of a response's header, or None if they are invalid.
 
     No value and `inf` mean no limit. The lowest of several values applies. Negative numbers, nan,
@@ -28,12 +28,12 @@
     """
     found = list(values)
     if not found:
-        return ANY_NUMBER
+        return UNLIMITED
     numbers = [number for value in found if (number := _number(value.strip())) is not None]
     if not numbers:
         return None
     lowest = min(numbers)
-    return ANY_NUMBER if math.isinf(lowest) else LimitWord(max(MIN_PER_SECOND, lowest))
+    return UNLIMITED if math.isinf(lowest) else AnnouncedLimit(max(MIN_PER_SECOND, lowest))
 
 
 def _number(text):
--- a/traystall/systems/windows.py
+++ b/traystall/systems/windows.py
@@ -23,7 +23,7 @@
     return row.share + int(row.excess_slots)
 
 
-def on_time(row: TargetRow, seconds: float, least: float | None, was_limited: bool) -> None:
+def on_duration(row: TargetRow, seconds: float, least: float | None, was_limited: bool) -> None:
     """Adjust the excess to one response time; `least` is the stage's optimistic time."""
     if not least or not row.may_exceed_share:
         return
--- a/traystall/tables/target_limits.py
+++ b/traystall/tables/target_limits.py
@@ -25,7 +25,7 @@
     since: float = float("-inf")
     first_ended_at: float = float("-inf")
     # Source of the limit: the id of a request of this process, or the gateway that reported it.
-    told_by: str = ""
+    source: str = ""
     # No permit is requested before these times: for work and for optional requests.
     closed_until: float = float("-inf")
     spare_closed_until: float = float("-inf")
@@ -36,7 +36,7 @@
         return self.per_second is not None
 
     @property
-    def was_named(self) -> bool:
+    def has_been_limited(self) -> bool:
         """Return whether the target has or had a limit."""
         return self.is_limited or self.ended_at > float("-inf")
 
@@ -44,7 +44,7 @@
         """Return whether no work may be sent now because no permit is available."""
         return self.is_limited and now < self.closed_until
 
-    def name(self, per_second: float, sent_at: float, told_by: str, now: float) -> bool:
+    def name(self, per_second: float, sent_at: float, source: str, now: float) -> bool:
         """Apply a response that announces a limit; return whether the limit changed.
 
         After an end, the limit applies even if its request was sent before that end: the response
@@ -56,7 +56,7 @@
         if not self.is_limited:
             self.since = now
         if changed:
-            self.told_by = told_by
+            self.source = source
         self.per_second = per_second
         self.sent_at = sent_at
         return changed
@@ -90,7 +90,7 @@
         return True
 
     def merge_remote(
-        self, per_second: float | None, sent_at: float, told_by: str, now: float
+        self, per_second: float | None, sent_at: float, source: str, now: float
     ) -> bool:
         """Merge the limit that another process reports; return whether the limit changed.
 
@@ -104,4 +104,4 @@
         is_same = per_second == self.per_second
         if is_same and sent_at < self.sent_at + REMOTE_MARGIN_SECONDS:
             return False
-        return self.name(per_second, sent_at, told_by, now)
+        return self.name(per_second, sent_at, source, now)
--- a/traystall/tables/targets.py
+++ b/traystall/tables/targets.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from traystall.tables.asked import Asked
+from traystall.tables.availability import Availability
 from traystall.tables.entities import PriorityClass, Target
 from traystall.tables.target_limits import TargetLimit
 
@@ -46,7 +46,7 @@
     ratio_at: float = float("-inf")
     breaker: Breaker = msgspec.field(default_factory=Breaker)
     # The backoff period or drain that the target requested from this gateway.
-    asked: Asked = msgspec.field(default_factory=Asked)
+    availability: Availability = msgspec.field(default_factory=Availability)
     # Rate limit for all gateways together.
     limit: TargetLimit = msgspec.field(default_factory=TargetLimit)
     # Models that the target reports; empty if unknown.
@@ -57,7 +57,7 @@
     excess_slots: float = 0.0
     may_exceed_share: bool = False
     # Whether one slot of the target is reserved for quick work.
-    keeps_quick_slot: bool = False
+    reserves_quick_slot: bool = False
     # Average number of this gateway's quick attempts in flight, and the time of the last sample.
     quick_load: float = 0.0
     quick_load_at: float = float("-inf")
@@ -69,7 +69,7 @@
         else:
             self.bulk_in_flight += 1
 
-    def give_back(self, priority: PriorityClass) -> None:
+    def release_slot(self, priority: PriorityClass) -> None:
         """Release the slot of an attempt of the class."""
         if priority is PriorityClass.QUICK:
             self.quick_in_flight -= 1
@@ -84,12 +84,12 @@
     def blocked_until(self) -> float:
         """Return when the target's backoff period and limit allow requests again."""
         closed = self.limit.closed_until if self.limit.is_limited else float("-inf")
-        return max(self.asked.rest_until, closed)
+        return max(self.availability.backoff_until, closed)
 
     @property
     def has_restriction(self) -> bool:
         """Return whether the target is leaving or has ever requested a backoff period."""
-        return self.asked.rest_until > float("-inf") or self.state is TargetState.LEAVING
+        return self.availability.backoff_until > float("-inf") or self.state is TargetState.LEAVING
 
     @property
     def total_in_flight(self) -> int:
