--- a/tests/permits/test_news.py
+++ b/tests/permits/test_news.py
@@ -30,7 +30,7 @@
         return {p.limit(LIFE).per_second for p in self.site.gateways.values()}
 
     def non_lender(self):
-        """Return a gateway that does not lend."""
+        """Return a gateway that is not a lender."""
         names = [name for name in self.site.gateways if name not in self.site.lenders()]
         return self.site.gateways[names[0]]
 
--- a/tests/permits/test_ranks.py
+++ b/tests/permits/test_ranks.py
@@ -13,8 +13,8 @@
 _LAG_SECONDS = 2.0
 
 
-def row(name, place="here", state="serving", lends=True):
-    return GatewayRow(name, name, place, "", f"{name}:1", 1, state, 0.0, False, lends=lends)
+def row(name, data_centre="here", state="serving", lends=True):
+    return GatewayRow(name, name, data_centre, "", f"{name}:1", 1, state, 0.0, False, lends=lends)
 
 
 def settled_ranking(own, rows):
--- a/tests/systems/test_limits.py
+++ b/tests/systems/test_limits.py
@@ -25,10 +25,10 @@
     customer = Customer("x", tuple(sorted(inside)), Limits(rate=float(whole), concurrency=whole))
     count = limits.count_gateways(customer, DATA_CENTRES)
     running = [
-        (place.name, index)
-        for place in DATA_CENTRES
-        if place.name in inside
-        for index in range(place.gateways + surplus)
+        (data_centre.name, index)
+        for data_centre in DATA_CENTRES
+        if data_centre.name in inside
+        for index in range(data_centre.gateways + surplus)
     ]
     positions = [limits.gateway_position(customer, DATA_CENTRES, *gateway) for gateway in running]
     assert len([p for p in positions if p < count]) == len({p for p in positions if p < count})
--- a/tests/systems/test_orders.py
+++ b/tests/systems/test_orders.py
@@ -15,8 +15,8 @@
 def engines():
     """Return three engines in each of two data centres."""
     return [
-        Target(f"{place}-{n}", "pool", Kind.ENGINE, place, f"127.0.0.1:{n}")
-        for place in DATA_CENTRES
+        Target(f"{data_centre}-{n}", "pool", Kind.ENGINE, data_centre, f"127.0.0.1:{n}")
+        for data_centre in DATA_CENTRES
         for n in range(3)
     ]
 
@@ -34,8 +34,8 @@
             self.states[order.target] = EngineState(order.target, frozenset(order.models))
         return orders
 
-    def ready(self, place, model):
-        return sum(model in s.ready for n, s in self.states.items() if n.startswith(place))
+    def ready(self, data_centre, model):
+        return sum(model in s.ready for n, s in self.states.items() if n.startswith(data_centre))
 
 
 def test_rolling_update_keeps_replicas_and_unloads_the_old_version():
@@ -43,12 +43,12 @@
     models = [Model("m", "2", "pool", replicas=2)]
     for now in range(1, 40):
         orders = simulated.round(models, budget, float(now))
-        for place in DATA_CENTRES:
-            assert sum(o.target.startswith(place) for o in orders) <= 1
+        for data_centre in DATA_CENTRES:
+            assert sum(o.target.startswith(data_centre) for o in orders) <= 1
             # A data centre never has fewer ready replicas than declared.
-            assert simulated.ready(place, OLD) >= 2 or simulated.ready(place, NEW) >= 2
-    for place in DATA_CENTRES:
-        assert (simulated.ready(place, NEW), simulated.ready(place, OLD)) == (2, 0)
+            assert simulated.ready(data_centre, OLD) >= 2 or simulated.ready(data_centre, NEW) >= 2
+    for data_centre in DATA_CENTRES:
+        assert (simulated.ready(data_centre, NEW), simulated.ready(data_centre, OLD)) == (2, 0)
     assert simulated.round(models, budget, 50.0) == []
 
 
--- a/tests/systems/test_permits.py
+++ b/tests/systems/test_permits.py
@@ -29,12 +29,14 @@
         while now < 130.0:
             now += source.expovariate(limit * 8)
             patience = source.choice((0.0, 0.0, 0.5))
-            spare = source.random() < 0.1
-            loan = schedule.grant(limit * part, f"g-{source.randrange(9)}", patience, spare, now)
-            if loan.is_granted and source.random() < 0.1:
-                schedule.give_back(now + loan.wait, now)
-            elif loan.is_granted:
-                sent.append(now + loan.wait)
+            is_spare = source.random() < 0.1
+            result = schedule.grant(
+                limit * part, f"g-{source.randrange(9)}", patience, is_spare, now
+            )
+            if result.is_granted and source.random() < 0.1:
+                schedule.give_back(now + result.wait, now)
+            elif result.is_granted:
+                sent.append(now + result.wait)
     assert max_in_window(sent) <= max_allowed(limit)
 
 
@@ -43,29 +45,29 @@
     """A target that also counts connections counted 12 where 7 requests were sent."""
     schedule, now, sent = PermitSchedule(), 0.0, []
     while now < 20.0:
-        loan = schedule.grant(limit * FIRST_PART, "g", 0.0, False, now)
-        sent += [now] if loan.is_granted else []
+        result = schedule.grant(limit * FIRST_PART, "g", 0.0, False, now)
+        sent += [now] if result.is_granted else []
         now += 0.01 / max(1.0, limit / 10)
     assert 2 * max_in_window(sent) <= max_allowed(limit)
 
 
 def test_waiting_requesters_use_the_whole_limit():
     schedule = PermitSchedule()
-    slots = [
-        loan.wait
+    waits = [
+        result.wait
         for _ in range(30)
-        if (loan := schedule.grant(5.0, "g", 4.0, False, 0.0)).is_granted
+        if (result := schedule.grant(5.0, "g", 4.0, False, 0.0)).is_granted
     ]
-    assert slots == pytest.approx([n / 5 for n in range(21)], abs=0.11)
+    assert waits == pytest.approx([n / 5 for n in range(21)], abs=0.11)
 
 
 def test_denied_request_gets_the_time_of_the_next_permit():
     schedule = PermitSchedule()
     for _ in range(3):
         assert schedule.grant(1.0, "g", 2.0, False, 10.0).is_granted
-    loan = schedule.grant(1.0, "g", 2.0, False, 10.0)
-    assert not loan.is_granted
-    assert loan.wait == pytest.approx(2.9, abs=0.11)
+    result = schedule.grant(1.0, "g", 2.0, False, 10.0)
+    assert not result.is_granted
+    assert result.wait == pytest.approx(2.9, abs=0.11)
 
 
 def test_optional_work_gets_only_unused_capacity():
@@ -79,9 +81,9 @@
     schedule = PermitSchedule()
     waits = [schedule.grant(1.0, "g", 5.0, False, 10.0).wait for _ in range(3)]
     schedule.give_back(10.0 + waits[1], 10.1)
-    loan = schedule.grant(1.0, "h", 1.0, False, 10.2)
-    assert loan.is_granted
-    assert 10.2 + loan.wait == pytest.approx(10.0 + waits[1])
+    result = schedule.grant(1.0, "h", 1.0, False, 10.2)
+    assert result.is_granted
+    assert 10.2 + result.wait == pytest.approx(10.0 + waits[1])
 
 
 def test_expired_permit_is_not_granted_again():
@@ -100,6 +102,6 @@
 
 def test_spread_grows_with_the_number_of_requesters():
     schedule = PermitSchedule()
-    loans = [schedule.grant(1.0, f"g-{n}", 0.0, False, 10.0) for n in range(5)]
-    assert [loan.is_granted for loan in loans] == [True] + [False] * 4
-    assert loans[-1].spread == pytest.approx(2.0)
+    results = [schedule.grant(1.0, f"g-{n}", 0.0, False, 10.0) for n in range(5)]
+    assert [result.is_granted for result in results] == [True] + [False] * 4
+    assert results[-1].spread == pytest.approx(2.0)
--- a/tests/tables/test_asked.py
+++ b/tests/tables/test_asked.py
@@ -9,12 +9,12 @@
 
 
 @given(st.lists(st.tuples(st.floats(0.0, 50.0), seconds), min_size=1, max_size=8))
-def test_latest_requested_end_applies(rests):
+def test_latest_requested_end_applies(backoffs):
     """A later request with an earlier end doesn't shorten the backoff period."""
     availability = Availability()
-    for now, wanted in sorted(rests):
+    for now, wanted in sorted(backoffs):
         availability.request_backoff(wanted, "", now)
-    end = max(now + wanted for now, wanted in rests)
+    end = max(now + wanted for now, wanted in backoffs)
     assert availability.backoff_until == end
     assert availability.is_backing_off(end - 0.001) and not availability.is_backing_off(end)
 
@@ -23,14 +23,14 @@
     availability = Availability()
     availability.request_backoff(1.0, "r", 0.0)
     assert not availability.may_send_work(0.9)
-    firsts = []
+    recovery_attempts = []
     while availability.may_send_work(1.0):
-        firsts.append(availability.on_sent())
-    assert len(firsts) == MAX_IN_FLIGHT_AFTER_BACKOFF
+        recovery_attempts.append(availability.on_sent())
+    assert len(recovery_attempts) == MAX_IN_FLIGHT_AFTER_BACKOFF
     availability.on_answer(1.1)
     assert availability.may_send_work(1.1)
-    for was_first in firsts:
-        availability.on_finished(was_first)
+    for was_recovery_attempt in recovery_attempts:
+        availability.on_finished(was_recovery_attempt)
     assert (availability.recovery_in_flight, availability.on_sent()) == (0, False)
 
 
--- a/traystall/permits/lenders.py
+++ b/traystall/permits/lenders.py
@@ -30,7 +30,7 @@
     def lenders_for(self, life, data_centre):
         found = self.lenders_by_target.get((life, data_centre))
         if found is None:
-            names = [name for name, place in self.members if place == data_centre]
+            names = [name for name, location in self.members if location == data_centre]
             names = names or [name for name, _ in self.members]
             found = rendezvous_order(f"limit {life}", names)[:_LENDER_COUNT]
             self.lenders_by_target[life, data_centre] = found
--- a/traystall/permits/permits.py
+++ b/traystall/permits/permits.py
@@ -59,7 +59,7 @@
     """Store the rate limits of targets, acquire permits from the lenders, and grant them.
 
     A target's incarnation is identified by `life`. `rows()` returns the directory of gateways.
-    Without `links`, only the permits that this gateway grants itself are available. `may_lend` is
+    Without `links`, only the permits that this gateway grants itself are available. `may_grant` is
     unset while the gateway stops.
     """
 
@@ -107,7 +107,7 @@
 
     def granted_count(self, life: str) -> int:
         """Return the number of permits granted here for one incarnation of a target."""
-        return self._schedules[life].granted_permits if life in self._schedules else 0
+        return self._schedules[life].granted_count if life in self._schedules else 0
 
     def observe_answer(
         self, life: str, announced: AnnouncedLimit, sent_at: float, request: str
@@ -286,14 +286,14 @@
         schedule = self._schedules.setdefault(life, PermitSchedule())
         rate = limit.per_second * part
         patience = request.patience or 0.0
-        loan = schedule.grant(rate, request.sender, patience, bool(request.spare), now)
-        if loan.is_granted:
+        result = schedule.grant(rate, request.sender, patience, bool(request.spare), now)
+        if result.is_granted:
             metrics.permits_lent_total.inc({})
         return PermitReply(
             lends=True,
-            granted=loan.is_granted,
-            wait=loan.wait,
-            spread=loan.spread,
+            granted=result.is_granted,
+            wait=result.wait,
+            spread=result.spread,
             known=self.record(life),
         )
 
--- a/traystall/systems/limits.py
+++ b/traystall/systems/limits.py
@@ -54,7 +54,9 @@
 def count_gateways(customer: Customer, data_centres: list[DataCentre]) -> int:
     """Return the number of declared gateways in the customer's data centres, at least 1."""
     places = set(customer.data_centres)
-    return max(1, sum(place.gateways for place in data_centres if place.name in places))
+    return max(
+        1, sum(data_centre.gateways for data_centre in data_centres if data_centre.name in places)
+    )
 
 
 def gateway_position(
@@ -65,16 +67,18 @@
     The position of a gateway without a share is not below the number of gateways.
     """
     places = sorted(
-        (place for place in data_centres if place.name in customer.data_centres),
-        key=lambda place: place.name,
+        (data_centre for data_centre in data_centres if data_centre.name in customer.data_centres),
+        key=lambda data_centre: data_centre.name,
     )
     before = 0
-    for place in places:
-        if place.name == own_data_centre:
+    for data_centre in places:
+        if data_centre.name == own_data_centre:
             # A gateway beyond the declared number has no share, so that the shares don't exceed
             # the limit.
-            return before + index if index < place.gateways else count_gateways(customer, places)
-        before += place.gateways
+            return (
+                before + index if index < data_centre.gateways else count_gateways(customer, places)
+            )
+        before += data_centre.gateways
     return before
 
 
--- a/traystall/systems/permits.py
+++ b/traystall/systems/permits.py
@@ -42,7 +42,7 @@
     # The last assigned send time, and the assigned times that were returned unused.
     last_send_at: float = float("-inf")
     returned_times: list[float] = []
-    granted_permits: int = 0
+    granted_count: int = 0
     requesters: dict[str, float] = {}
 
     def grant(
@@ -65,7 +65,7 @@
             if send_at - now > patience:
                 return PermitGrant(False, send_at - now, self._spread(per_second))
             self.last_send_at = base
-        self.granted_permits += 1
+        self.granted_count += 1
         return PermitGrant(True, send_at - now)
 
     def give_back(self, send_at: float, now: float) -> None:
@@ -74,7 +74,7 @@
         send_at = min(send_at, self.last_send_at)
         if send_at > now:
             bisect.insort(self.returned_times, send_at)
-            self.granted_permits -= 1
+            self.granted_count -= 1
 
     def _take_returned_time(self, patience, now):
         while self.returned_times and self.returned_times[0] < now:
--- a/traystall/tables/availability.py
+++ b/traystall/tables/availability.py
@@ -23,7 +23,7 @@
     recovery_in_flight: int = 0
 
     def is_backing_off(self, now: float) -> bool:
-        """Return whether the backoff period lasts, in which no request of any type is sent."""
+        """Return whether the target is in its backoff period, during which nothing is sent."""
         return now < self.backoff_until
 
     def may_send_work(self, now: float) -> bool:
@@ -47,9 +47,9 @@
         self.recovery_in_flight += self.is_recovering
         return self.is_recovering
 
-    def on_finished(self, was_first: bool) -> None:
-        """Record the end of a request; `was_first` is the result of `on_sent`."""
-        self.recovery_in_flight -= was_first
+    def on_finished(self, was_recovery_attempt: bool) -> None:
+        """Record the end of a request; `was_recovery_attempt` is the result of `on_sent`."""
+        self.recovery_in_flight -= was_recovery_attempt
 
     def on_answer(self, now: float) -> None:
         """Record a response without a backoff request, which ends the limit after a backoff."""
--- a/traystall/tables/entities.py
+++ b/traystall/tables/entities.py
@@ -101,7 +101,7 @@
     reports_load: bool = True
     # Whether the target checks the fencing token of an order.
     fencing: bool = True
-    # Path at which the outcome of a key can be asked for, empty if it cannot.
+    # Path at which the outcome of a key can be queried, empty if it cannot.
     lookup: str = ""
 
 
