--- a/traystall/systems/admission.py
+++ b/traystall/systems/admission.py
@@ -8,8 +8,8 @@
 from traystall.systems.estimates import TimeTable
 from traystall.tables.entities import Pipeline
 
-MIN_RETRY_AFTER = 1
-MAX_RETRY_AFTER = 60
+MIN_RETRY_AFTER_SECONDS = 1
+MAX_RETRY_AFTER_SECONDS = 60
 
 
 class Admission(msgspec.Struct, frozen=True):
@@ -17,7 +17,7 @@
 
     admitted: bool
     why: str = ""
-    retry_after: int = MIN_RETRY_AFTER
+    retry_after: int = MIN_RETRY_AFTER_SECONDS
 
 
 def admit(times: TimeTable, pipeline: Pipeline, deadline: float, now: float) -> Admission:
@@ -38,4 +38,4 @@
 
 def retry_after_seconds(estimate: float) -> int:
     """Return an estimated recovery time as whole seconds for a Retry-After header."""
-    return int(min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, math.ceil(estimate))))
+    return int(min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, math.ceil(estimate))))
--- a/traystall/systems/limits.py
+++ b/traystall/systems/limits.py
@@ -25,7 +25,7 @@
     until: float
 
 
-class LimitRow(msgspec.Struct):
+class CustomerUsage(msgspec.Struct):
     """One customer's token bucket and running requests at this gateway."""
 
     tokens: float
@@ -43,7 +43,7 @@
     seconds: float = 0.0
 
 
-class Verdict(msgspec.Struct, frozen=True):
+class LimitDecision(msgspec.Struct, frozen=True):
     """Whether a request is within the limits; if not, why and after how many seconds to retry."""
 
     within: bool
@@ -105,25 +105,25 @@
     """
 
     def __init__(self):
-        self._rows: dict[str, LimitRow] = {}
+        self._rows: dict[str, CustomerUsage] = {}
 
     def admit(
         self, customer: Customer, index: int, count: int, now: float, seconds: float
-    ) -> Verdict:
+    ) -> LimitDecision:
         """Admit a request that runs for at most `seconds` if the limits allow it."""
         row = self._row(customer, index, count, now)
         if customer.limits.concurrency:
             ends_at = now + seconds
             if row.running >= self._permits(row, customer, index, count, now, ends_at):
-                return Verdict(False, "concurrency", 1.0)
+                return LimitDecision(False, "concurrency", 1.0)
         if customer.limits.rate:
             if row.tokens < 1.0:
                 rate = rate_share(customer.limits.rate, index, count)
                 wait = (1.0 - row.tokens) / rate if rate else MAX_WAIT_SECONDS
-                return Verdict(False, "rate", wait)
+                return LimitDecision(False, "rate", wait)
             row.tokens -= 1.0
         row.running += 1
-        return Verdict(True)
+        return LimitDecision(True)
 
     def finish(self, customer: str) -> None:
         """Record the end of a request of the customer."""
@@ -168,7 +168,7 @@
         capacity = max(1.0, rate * BURST_SECONDS)
         row = self._rows.get(customer.name)
         if row is None:
-            row = self._rows[customer.name] = LimitRow(capacity, now)
+            row = self._rows[customer.name] = CustomerUsage(capacity, now)
         # Borrowed tokens may exceed the capacity. They are kept, but the bucket isn't refilled.
         refill = rate * (now - row.refilled_at)
         row.tokens = max(row.tokens, min(capacity, row.tokens + refill))
--- a/traystall/systems/membership.py
+++ b/traystall/systems/membership.py
@@ -29,13 +29,13 @@
 
 
 def _on_leaving(row, report):
-    old_news = (
+    is_outdated = (
         not report.first_hand
         and report.incarnation
         and row.incarnation
         and report.incarnation != row.incarnation
     )
-    if old_news or row.state is TargetState.LEAVING:
+    if is_outdated or row.state is TargetState.LEAVING:
         return False
     row.state = TargetState.LEAVING
     if report.incarnation:
--- a/traystall/tables/gateways.py
+++ b/traystall/tables/gateways.py
@@ -54,7 +54,7 @@
     def __init__(self, remembered_drops: int = REMEMBERED_DROPS):
         self._changes = ChangeLog(remembered_drops)
         self._rows: dict[str, GatewayRow] = {}
-        self._checked = (0, 0)
+        self._checksum = (0, 0)
 
     @property
     def version(self) -> int:
@@ -69,8 +69,8 @@
         if old is not None:
             row.number = max(row.number, old.number)
             row.evacuation_version = max(row.evacuation_version, old.evacuation_version)
-        self._drop_predecessors(row)
-        if old is None or _public(old) != _public(row):
+        self._drop_older_incarnations(row)
+        if old is None or _published_fields(old) != _published_fields(row):
             self._changes.change(row.identity)
         self._rows[row.identity] = row
 
@@ -94,10 +94,10 @@
 
     def check(self) -> int:
         """Return the checksum of the current rows."""
-        version, check = self._checked
+        version, check = self._checksum
         if version != self.version:
             check = directory_check(self._rows.values())
-            self._checked = (self.version, check)
+            self._checksum = (self.version, check)
         return check
 
     def expire(self, now: float) -> None:
@@ -106,7 +106,7 @@
         for row in gone:
             self._drop(row.identity)
 
-    def _drop_predecessors(self, row):
+    def _drop_older_incarnations(self, row):
         """Drop older incarnations of the same instance."""
         stale = [
             other.identity
@@ -123,7 +123,7 @@
         self._changes.drop(identity)
 
 
-def _public(row):
+def _published_fields(row):
     return (
         row.data_centre,
         row.address,
