--- a/tests/tables/test_asked.py
+++ b/tests/tables/test_asked.py
@@ -1,4 +1,4 @@
-"""What a target has asked for holds, and is over when it said."""
+"""Backoff requests of a target are honoured until their end."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -9,32 +9,32 @@
 
 
 @given(st.lists(st.tuples(st.floats(0.0, 50.0), seconds), min_size=1, max_size=8))
-def test_the_latest_end_that_was_asked_for_holds(rests):
-    """A rest that is asked for later but ends sooner shortens nothing."""
+def test_latest_requested_end_applies(backoffs):
+    """A later request with an earlier end doesn't shorten the backoff period."""
     availability = Availability()
-    for now, wanted in sorted(rests):
+    for now, wanted in sorted(backoffs):
         availability.request_backoff(wanted, "", now)
-    end = max(now + wanted for now, wanted in rests)
+    end = max(now + wanted for now, wanted in backoffs)
     assert availability.backoff_until == end
     assert availability.is_backing_off(end - 0.001) and not availability.is_backing_off(end)
 
 
-def test_few_requests_are_first_after_a_rest_until_one_is_answered():
+def test_few_requests_are_sent_after_a_backoff_until_one_succeeds():
     availability = Availability()
     availability.request_backoff(1.0, "r", 0.0)
     assert not availability.may_send_work(0.9)
-    firsts = []
+    recovery_attempts = []
     while availability.may_send_work(1.0):
-        firsts.append(availability.on_sent())
-    assert len(firsts) == MAX_IN_FLIGHT_AFTER_BACKOFF
+        recovery_attempts.append(availability.on_sent())
+    assert len(recovery_attempts) == MAX_IN_FLIGHT_AFTER_BACKOFF
     availability.on_answer(1.1)
     assert availability.may_send_work(1.1)
-    for was_first in firsts:
-        availability.on_finished(was_first)
+    for was_recovery_attempt in recovery_attempts:
+        availability.on_finished(was_recovery_attempt)
     assert (availability.recovery_in_flight, availability.on_sent()) == (0, False)
 
 
-def test_first_requests_that_were_given_up_make_room_for_others():
+def test_cancelled_requests_after_a_backoff_free_their_places():
     availability = Availability()
     availability.request_backoff(1.0, "r", 0.0)
     for _ in range(20):
@@ -42,15 +42,15 @@
         availability.on_finished(availability.on_sent())
 
 
-def test_answer_that_comes_in_a_rest_ends_nothing():
-    """It was given to a request that had come before."""
+def test_response_during_a_backoff_does_not_end_it():
+    """The response belongs to a request from before the backoff period."""
     availability = Availability()
     availability.request_backoff(1.0, "r", 0.0)
     availability.on_answer(0.5)
     assert availability.is_recovering and availability.is_backing_off(0.9)
 
 
-def test_one_that_leaves_does_so_for_good():
+def test_leaving_is_permanent():
     availability = Availability(leaves=True)
     availability.request_backoff(1.0, "r", 0.0)
     availability.lift()
@@ -58,7 +58,7 @@
     assert not availability.may_send_work(100.0)
 
 
-def test_a_lifted_rest_is_over():
+def test_lifted_backoff_is_over():
     availability = Availability()
     assert not availability.lift()
     availability.request_backoff(1.0, "r", 0.0)
--- a/traystall/permits/broadcast.py
+++ b/traystall/permits/broadcast.py
@@ -1,4 +1,8 @@
-"""Tell all gateways what targets take, and who lends it what this gateway has heard."""
+"""Distribute the rate limits of targets to all gateways.
+
+A gateway reports a change that it observed to the target's lenders, and the first lender sends it
+to every gateway.
+"""
 
 import asyncio
 import logging
@@ -10,43 +14,43 @@
 from traystall.rpc.gen.wire.ttypes import LimitNews
 from traystall.tables.gateways import GatewayRow
 
-# So often is looked for something to tell, in seconds: all know a limit within two turns.
-_TURN_SECONDS = 0.2
-# A gateway that could not be told is told again after so many seconds.
-_AGAIN_SECONDS = 1.0
-# What changes by less than this factor is told by those who ask for permits only.
-_TOLD_FACTOR = 2.0
+# Interval of the distribution: every gateway knows a limit after two intervals.
+_INTERVAL_SECONDS = 0.2
+# Delay before limits are sent again to a gateway that was unreachable.
+_RETRY_SECONDS = 1.0
+# A smaller relative change isn't sent; gateways learn it with their next permit reply.
+_PUBLISHED_FACTOR = 2.0
 
 logger = logging.getLogger(__name__)
 
 
 class LimitBroadcaster:
-    """Tell what is known of limits: the first lender tells every gateway, others the lenders."""
+    """Send known limits: the first lender to every gateway, other gateways to the lenders."""
 
     def __init__(self, permits: Permits, links: LinkPool, rows, data_centre_of, lives):
-        """Use `data_centre_of(life)` for where a target is, and `lives()` for those known."""
+        """Use `data_centre_of(life)` to locate a target and `lives()` for the known ones."""
         self._permits = permits
         self._links = links
         self._rows = rows
         self._data_centre_of = data_centre_of
         self._lives = lives
-        # What each gateway was told last, and when one that could not be reached is told again.
-        self._told: dict[str, dict[str, float | None]] = {}
-        self._again_at: dict[str, float] = {}
+        # The limits last sent to each gateway, and when to retry one that was unreachable.
+        self._sent: dict[str, dict[str, float | None]] = {}
+        self._retry_at: dict[str, float] = {}
         self._tasks: set[asyncio.Task] = set()
 
     async def run_forever(self) -> None:
-        """Look again and again, and note who serves."""
+        """Distribute limits at a fixed interval and update the lenders."""
         try:
             while True:
-                await asyncio.sleep(_TURN_SECONDS)
+                await asyncio.sleep(_INTERVAL_SECONDS)
                 self.review()
         finally:
             for task in self._tasks:
                 task.cancel()
 
     def review(self) -> None:
-        """Tell what is new to whom it is new."""
+        """Update the lenders and send changed limits to the gateways that need them."""
         rows = [row for row in self._rows() if row.lends]
         now = clock.monotonic()
         self._permits.refresh_lenders()
@@ -56,48 +60,48 @@
         metrics.limited_targets.set({}, sum(limit.is_limited for limit in limits.values()))
         if not limits:
             return
-        self._told = {row.identity: self._told.get(row.identity, {}) for row in rows}
-        wanted = self._news(limits)
+        self._sent = {row.identity: self._sent.get(row.identity, {}) for row in rows}
+        pending = self._pending_updates(limits)
         for row in rows:
-            found = wanted.get(row.identity)
-            if found and now >= self._again_at.get(row.identity, 0.0):
-                self._again_at[row.identity] = now + _AGAIN_SECONDS
-                self._spawn(self._tell(row, found))
+            found = pending.get(row.identity)
+            if found and now >= self._retry_at.get(row.identity, 0.0):
+                self._retry_at[row.identity] = now + _RETRY_SECONDS
+                self._spawn(self._send_limits(row, found))
 
-    def _news(self, limits) -> dict[str, list[str]]:
-        """Return for each gateway the lives of which it should be told something."""
+    def _pending_updates(self, limits) -> dict[str, list[str]]:
+        """Return the target incarnations whose limits each gateway should receive."""
         own = self._permits.identity
         found: dict[str, list[str]] = {}
-        heard, self._permits.heard = self._permits.heard, set()
+        undistributed, self._permits.undistributed = self._permits.undistributed, set()
         for life, limit in list(limits.items()):
             lenders = self._permits.ranks.lenders(life, self._data_centre_of(life))
             if lenders and own == lenders[0]:
-                others = [name for name in self._told if name != own]
-                news = [n for n in others if self._is_news(n, life, limit.per_second)]
+                others = [name for name in self._sent if name != own]
+                recipients = [n for n in others if self._needs_update(n, life, limit.per_second)]
             else:
-                news = [n for n in lenders if n != own] if life in heard else []
-            for name in news:
+                recipients = [n for n in lenders if n != own] if life in undistributed else []
+            for name in recipients:
                 found.setdefault(name, []).append(life)
         return found
 
-    def _is_news(self, name, life, per_second) -> bool:
-        told = self._told[name].get(life)
-        if told is None or per_second is None:
-            return told != per_second
-        return not 1 / _TOLD_FACTOR < per_second / told < _TOLD_FACTOR
+    def _needs_update(self, name, life, per_second) -> bool:
+        sent = self._sent[name].get(life)
+        if sent is None or per_second is None:
+            return sent != per_second
+        return not 1 / _PUBLISHED_FACTOR < per_second / sent < _PUBLISHED_FACTOR
 
-    async def _tell(self, row: GatewayRow, lives):
+    async def _send_limits(self, row: GatewayRow, lives):
         records = [self._permits.record(life) for life in lives]
         message = LimitNews(sender=self._permits.identity, limits=records)
         try:
             await self._links.link(row.rpc_address).send(message)
         except RpcError as error:
-            logger.info("limits not told", extra={"peer": row.identity, "why": str(error)})
-            self._permits.heard.update(lives)
+            logger.info("limits not sent", extra={"peer": row.identity, "why": str(error)})
+            self._permits.undistributed.update(lives)
             return
-        self._again_at.pop(row.identity, None)
-        told = self._told.setdefault(row.identity, {})
-        told.update((record.life, record.per_second) for record in records)
+        self._retry_at.pop(row.identity, None)
+        sent = self._sent.setdefault(row.identity, {})
+        sent.update((record.life, record.per_second) for record in records)
 
     def _spawn(self, coroutine):
         task = asyncio.create_task(coroutine)
--- a/traystall/tables/availability.py
+++ b/traystall/tables/availability.py
@@ -1,29 +1,29 @@
-"""What one life of a target has asked of this process. Times are monotonic seconds."""
+"""Backoff and drain requests of one incarnation of a target. Times are monotonic seconds."""
 
 import msgspec
 
-# So many requests may be under way to a target that has rested until one of them is answered:
-# else all that waited comes at once, which is what made it ask for rest.
+# Number of requests in flight to a target after its backoff period until one of them succeeds.
+# Otherwise all waiting requests would arrive at once and overload the target again.
 MAX_IN_FLIGHT_AFTER_BACKOFF = 2
 
 
 class Availability(msgspec.Struct):
-    """Hold what one life of a target has asked: to be left alone for a while, or for good.
+    """The backoff period that one incarnation of a target requested, and whether it is leaving.
 
-    That is a promise, unlike what was learned of it: no other doubt overrules it, and nothing later
-    shortens it. It binds the process that was asked and that one life. `request` is the id of the
-    request whose answer asked for the rest.
+    Unlike measured state, these requests are always honoured: no failure evidence overrides them,
+    and a later request never shortens the period. They apply to this process and this incarnation
+    only. `request` is the id of the request whose response asked for the backoff.
     """
 
     backoff_until: float = float("-inf")
     leaves: bool = False
     request: str = ""
-    # Whether nothing was answered since the rest, and how many requests are under way since.
+    # Whether no request has succeeded since the backoff period, and the number in flight since.
     is_recovering: bool = False
     recovery_in_flight: int = 0
 
     def is_backing_off(self, now: float) -> bool:
-        """Return whether nothing at all may be sent now."""
+        """Return whether the target is in its backoff period, during which nothing is sent."""
         return now < self.backoff_until
 
     def may_send_work(self, now: float) -> bool:
@@ -33,7 +33,7 @@
         return not self.is_recovering or self.recovery_in_flight < MAX_IN_FLIGHT_AFTER_BACKOFF
 
     def request_backoff(self, seconds: float, request: str, now: float) -> bool:
-        """Take in that it wants nothing for so long; return whether that is longer than known."""
+        """Start or extend the backoff period; return whether its end is later than before."""
         until = now + seconds
         if until <= self.backoff_until:
             return False
@@ -43,30 +43,30 @@
         return True
 
     def on_sent(self) -> bool:
-        """Take in that a request is about to be sent; return whether it is one of the first."""
+        """Record a request to send; return whether it counts against the limit after a backoff."""
         self.recovery_in_flight += self.is_recovering
         return self.is_recovering
 
-    def on_finished(self, was_first: bool) -> None:
-        """Take in that a request is over, `was_first` as `on_sent` said of it."""
-        self.recovery_in_flight -= was_first
+    def on_finished(self, was_recovery_attempt: bool) -> None:
+        """Record the end of a request; `was_recovery_attempt` is the result of `on_sent`."""
+        self.recovery_in_flight -= was_recovery_attempt
 
     def on_answer(self, now: float) -> None:
-        """Take in an answer that asks for nothing: after a rest all may come again."""
+        """Record a response without a backoff request, which ends the limit after a backoff."""
         if not self.is_backing_off(now):
             self.is_recovering = False
 
     def lift(self) -> bool:
-        """Forget a rest, as an operator orders; return whether there was one."""
+        """Cancel a backoff period for an operator; return whether there was one."""
         found = self.backoff_until > float("-inf")
         self.backoff_until = float("-inf")
         self.is_recovering = False
         return found
 
     def for_next_incarnation(self, same_process: bool) -> "Availability":
-        """Return what holds for the next life, which has asked for the rest if it is the same.
+        """Return the state for the next incarnation, with the backoff if the process is the same.
 
-        A life may be known late, after its first answers have come.
+        An incarnation may become known only after its first responses.
         """
         return (
             Availability(self.backoff_until, False, self.request)
