--- a/tests/quarantine/test_burst.py
+++ b/tests/quarantine/test_burst.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from traystall.quarantine.models import TRIAL_ENDS, BeginTrial, EndedRun, ReportRuns, Verdict
+from traystall.quarantine.models import TRIAL_MIN_ENDS, BeginTrial, EndedRun, ReportRuns, Verdict
 from traystall.quarantine.state import SuspectTable
 
 TARGETS = 20
@@ -69,7 +69,7 @@
     def send(self, name, left, returned, waited=0.0):
         """Send a request, or let it wait, or refuse it."""
         trial = ""
-        if self.held.get(name, 0) >= TRIAL_ENDS:
+        if self.held.get(name, 0) >= TRIAL_MIN_ENDS:
             trial = f"t-{next(self._order)}"
             answer = self.table.begin_trial(BeginTrial(name.encode(), trial, self.now))
             if answer.verdict is Verdict.WAIT and waited < WAIT_SECONDS:
--- a/tests/quarantine/test_narrow_link.py
+++ b/tests/quarantine/test_narrow_link.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.gateway.test_configuration_transfer import LARGE, change_running_gateway, play
-from traystall.quarantine.models import TRIAL_ENDS
+from traystall.quarantine.models import TRIAL_MIN_ENDS
 from traystall.rpc.gen.wire.ttypes import EndedRun, ReportRunsRequest
 
 # Within so many seconds of the link's own clock every gateway has to know: the least bound of
@@ -28,7 +28,7 @@
             life=f"target-{number}@1786675920632",
             evidence="nothing listens at its address",
         )
-        for number in range(TRIAL_ENDS)
+        for number in range(TRIAL_MIN_ENDS)
     ]
     return ReportRunsRequest(ended=ended, served=[], released=[])
 
--- a/tests/quarantine/test_state.py
+++ b/tests/quarantine/test_state.py
@@ -6,7 +6,7 @@
 
 from traystall.quarantine.models import (
     MOST_TRIALS,
-    TRIAL_ENDS,
+    TRIAL_MIN_ENDS,
     TRIAL_SECONDS,
     BeginTrial,
     EndedRun,
@@ -16,11 +16,11 @@
     Verdict,
 )
 from traystall.quarantine.state import (
-    FORGET_SECONDS,
-    MOST_OF_CUSTOMER,
-    MOST_SUSPECTS,
-    REFUSED_SECONDS,
-    SUSPECT_SECONDS,
+    REFUSED_RETENTION_SECONDS,
+    MAX_SUSPECTS_PER_CUSTOMER,
+    MAX_SUSPECTS,
+    REFUSAL_SECONDS,
+    SUSPECT_RETENTION_SECONDS,
     SuspectTable,
 )
 
@@ -40,7 +40,7 @@
     return table.begin_trial(BeginTrial(digest, trial, time))
 
 
-def suspected(ends=TRIAL_ENDS, digest=ENDS):
+def suspected(ends=TRIAL_MIN_ENDS, digest=ENDS):
     table = SuspectTable()
     for number in range(ends):
         report(table, end(f"life-{number}", digest))
@@ -56,14 +56,14 @@
 
 def test_request_runs_freely_until_three_targets_have_ended():
     assert ask(SuspectTable()).verdict is Verdict.FREE
-    assert ask(suspected(TRIAL_ENDS - 1)).verdict is Verdict.FREE
+    assert ask(suspected(TRIAL_MIN_ENDS - 1)).verdict is Verdict.FREE
     assert ask(suspected()).verdict is Verdict.TRIAL
 
 
 def test_trial_that_ends_its_target_proves_it():
     table = refused()
     answer = ask(table, "t-2")
-    assert (answer.verdict, answer.seconds) == (Verdict.REFUSED, REFUSED_SECONDS)
+    assert (answer.verdict, answer.seconds) == (Verdict.REFUSED, REFUSAL_SECONDS)
 
 
 def test_trials_that_say_nothing_are_counted_too():
@@ -76,7 +76,7 @@
 
 def test_one_trial_of_a_pool_at_a_time_so_that_its_end_tells_who_did_it():
     table = suspected()
-    for number in range(TRIAL_ENDS):
+    for number in range(TRIAL_MIN_ENDS):
         report(table, end(f"other-{number}", OTHER))
     assert ask(table, "t-1", ENDS).verdict is Verdict.TRIAL
     assert ask(table, "t-2", OTHER).verdict is Verdict.WAIT
@@ -87,7 +87,7 @@
 
 def test_trial_of_a_gateway_that_is_lost_holds_the_others_up_for_a_while_only():
     table = suspected()
-    for number in range(TRIAL_ENDS):
+    for number in range(TRIAL_MIN_ENDS):
         report(table, end(f"other-{number}", OTHER))
     ask(table, "t-1", ENDS)
     assert ask(table, "t-2", OTHER, TRIAL_SECONDS - 0.1).verdict is Verdict.WAIT
@@ -105,7 +105,7 @@
 def test_requests_beside_the_one_that_is_refused_are_cleared():
     """They ran on the same three targets; only the trial tells them apart."""
     table = SuspectTable()
-    for number in range(TRIAL_ENDS):
+    for number in range(TRIAL_MIN_ENDS):
         report(table, end(f"life-{number}"), end(f"life-{number}", OTHER))
     report(table, end("another-life", b"elsewhere"))
     ask(table)
@@ -141,7 +141,7 @@
 
 def test_refusal_lapses_into_one_trial():
     table = refused()
-    later = REFUSED_SECONDS + 1
+    later = REFUSAL_SECONDS + 1
     assert ask(table, "t-2", time=later).verdict is Verdict.TRIAL
     report(table, end("mended?", trial="t-2"), time=later + 1)
     assert ask(table, "t-3", time=later + 2).verdict is Verdict.REFUSED
@@ -149,13 +149,14 @@
 
 def test_what_was_refused_and_is_served_once_it_lapsed_is_cleared():
     table = refused()
-    ask(table, "t-2", time=REFUSED_SECONDS + 1)
-    report(table, served=[ENDS], time=REFUSED_SECONDS + 2)
-    assert ask(table, time=REFUSED_SECONDS + 3).verdict is Verdict.FREE
+    ask(table, "t-2", time=REFUSAL_SECONDS + 1)
+    report(table, served=[ENDS], time=REFUSAL_SECONDS + 2)
+    assert ask(table, time=REFUSAL_SECONDS + 3).verdict is Verdict.FREE
 
 
 @pytest.mark.parametrize(
-    ("table", "seconds"), [(suspected(), SUSPECT_SECONDS), (refused(), FORGET_SECONDS)]
+    ("table", "seconds"),
+    [(suspected(), SUSPECT_RETENTION_SECONDS), (refused(), REFUSED_RETENTION_SECONDS)],
 )
 def test_everything_is_forgotten_some_day(table, seconds):
     report(table, time=seconds - 1)
@@ -175,23 +176,23 @@
 def test_clock_that_steps_back_undoes_nothing():
     table = refused()
     report(table, time=100.0)
-    assert ask(table, "t-2", time=-500.0).seconds == REFUSED_SECONDS - 100.0
+    assert ask(table, "t-2", time=-500.0).seconds == REFUSAL_SECONDS - 100.0
 
 
 def test_one_customer_cannot_push_out_what_is_held_of_another():
     table = refused()
-    for number in range(MOST_OF_CUSTOMER * 3):
+    for number in range(MAX_SUSPECTS_PER_CUSTOMER * 3):
         report(table, end(f"life-{number}", b"%d" % number, customer="bert"))
     assert ask(table).verdict is Verdict.REFUSED
-    assert len(table) == MOST_OF_CUSTOMER + 1
+    assert len(table) == MAX_SUSPECTS_PER_CUSTOMER + 1
 
 
 def test_table_is_bounded_and_keeps_what_is_refused():
     table = refused()
-    for number in range(MOST_SUSPECTS + 500):
+    for number in range(MAX_SUSPECTS + 500):
         customer = f"customer-{number % 40}"
         report(table, end(f"life-{number}", b"%d" % number, customer=customer))
-    assert len(table) == MOST_SUSPECTS
+    assert len(table) == MAX_SUSPECTS
     assert ask(table).verdict is Verdict.REFUSED
     assert len(table.snapshot()) < 2_500_000
 
--- a/traystall/quarantine/digests.py
+++ b/traystall/quarantine/digests.py
@@ -1,7 +1,8 @@
-"""Name a request without keeping any of it: a keyed digest of customer, path and body.
+"""Keyed digests that identify a request by its customer, path and body.
 
-Without the cluster's key nobody can test a guess against a digest, and nothing of the request can
-be read from it: it is no copy, so it may leave the customer's data centres.
+The request can't be recovered from a digest, and a guess can't be checked against it without the
+cluster's key. A digest is therefore no copy of the request and may leave the data centres to which
+a customer's data is restricted.
 """
 
 import hashlib
@@ -12,13 +13,13 @@
 
 
 def make_key(cluster: str, secret: str) -> bytes:
-    """Return the key of a cluster's digests; a cluster without a secret is told apart by name."""
+    """Return the digest key of a cluster, derived from its secret or, without one, its name."""
     data = secret.encode() or cluster.encode()
     return hashlib.blake2b(data, digest_size=32, person=_PURPOSE).digest()
 
 
 def request_digest(key: bytes, customer: str, path: str, body: bytes) -> bytes:
-    """Return the digest of a request; 4 MiB of body take about 4 ms."""
+    """Return the digest of a request. A body of 4 MiB takes about 4 ms."""
     digest = hashlib.blake2b(digest_size=_DIGEST_BYTES, key=key)
     for part in (customer.encode(), path.encode("utf-8", "surrogateescape")):
         digest.update(len(part).to_bytes(_LENGTH_BYTES, "big") + part)
--- a/traystall/quarantine/ends.py
+++ b/traystall/quarantine/ends.py
@@ -1,9 +1,10 @@
-"""Find out whether a target ended when a connection to it broke.
+"""Detect whether a target ended when a connection to it broke.
 
-A connection also breaks when an answer is lost or spoiled, when a link is cut, or when a target
-closes it early or has too many. Evidence of an end is that nothing listens at the target's address,
-twice in a row and without an answer of this life in between, or that another life shows there.
-Silence is none: a target behind a cut says nothing either.
+A connection also breaks when a response is lost or corrupted, when a link is cut, or when a target
+closes it early or has too many connections. An end is proven if connections to the target's address
+are refused twice in a row, without a response of the same incarnation in between, or if another
+incarnation appears at the address. A timeout proves nothing, since a target behind a network
+partition doesn't respond either.
 """
 
 import asyncio
@@ -16,189 +17,195 @@
 from traystall.core import clock, metrics
 from traystall.core.logs import decision
 
-# When the address is tried, in seconds after a break. The first two tell a target that has ended
-# from one that turns connections away while it is full; the last one finds a process that closes
-# its connections a little before it stops listening.
-_TRIES = (0.0, 0.1, 0.4)
-# At the least between two tries of one address, in seconds: connections cost the target.
-_TRY_EVERY = 0.1
-# An answer that was under way at the break is taken for one before it, for so many seconds.
-_UNDER_WAY_SECONDS = 0.05
-# How long another life is waited for, in seconds, and how often that is looked up: a target that
-# was back before the first try tells its new life by its next report, some seconds later.
-_LOOK_SECONDS = 6.0
-_LOOK_EVERY = 0.25
-_CONNECT_SECONDS = 0.25
-# A run that was given up may still go on for so long, in seconds, at a target that doesn't notice.
-_LEFT_SECONDS = 2.0
-# Ends that are remembered, so that a connection that breaks a little later is counted at once.
-_REMEMBERED = 200
-# Runs of one target that are blamed at the most; engines run some dozens at once.
-_MOST_RUNS = 512
+# Delays of the probes of the address after a break. The first two tell an ended target from one
+# that refuses connections while it is full. The last one detects a process that closes its
+# connections slightly before it stops listening.
+_PROBE_DELAYS_SECONDS = (0.0, 0.1, 0.4)
+# Shortest time between two probes of one address, since connections cost the target.
+_MIN_PROBE_INTERVAL_SECONDS = 0.1
+# A response received within this time after a break may have been in transit during the break. It
+# doesn't prove that the target was still running afterwards.
+_IN_TRANSIT_SECONDS = 0.05
+# How long to wait for another incarnation. A target that has restarted before the first probe
+# announces its new incarnation with its next report, some seconds later.
+_CHECK_SECONDS = 6.0
+_CHECK_INTERVAL_SECONDS = 0.25
+_CONNECT_TIMEOUT_SECONDS = 0.25
+# How long an abandoned run may continue at a target that doesn't notice the closed connection.
+_ABANDONED_RUN_SECONDS = 2.0
+# Ends kept, so that a run whose connection breaks slightly later is counted at once.
+_MAX_ENDS_KEPT = 200
+# Limit of the runs that are counted for one end. Engines run some dozens at once.
+_MAX_RUNS_PER_TARGET = 512
 REFUSED = "nothing listens at its address"
 
 logger = logging.getLogger(__name__)
 
 
 class WatchedTarget(msgspec.Struct, frozen=True):
-    """Name one life of a target.
+    """One incarnation of a target, with callables to check on it.
 
-    `evidence()` returns how else its end shows, or nothing; `answered_at()` when it last answered
-    this gateway, in monotonic seconds.
+    `evidence()` returns other evidence of its end, or an empty string. `answered_at()` returns when
+    it last responded to this gateway, in monotonic seconds.
     """
 
     life: str
     address: str
     pool: str
     evidence: Callable[[], str] = str
-    answered_at: Callable[[], float] = float
+    last_response_at: Callable[[], float] = float
 
 
-class _Broken(msgspec.Struct):
-    """Hold the runs whose connections to one life of a target broke, with when each did.
+class _EndCheck(msgspec.Struct):
+    """The runs whose connections to one incarnation broke, each with the time of its break.
 
-    The last one broke at `since`.
+    `since` is the time of the last break, `due` holds the times of the remaining probes.
     """
 
     target: WatchedTarget
     since: float
     due: list[float]
     runs: list[tuple[float, object]]
-    tried_at: float = float("-inf")
+    probed_at: float = float("-inf")
     refusals: int = 0
 
 
-class EndWatch:
-    """Look into broken connections; tell `guard` of the runs of targets that ended."""
+class EndDetector:
+    """Investigate broken connections and report the runs of ended targets to `guard`."""
 
     def __init__(self, guard):
         self._guard = guard
-        self._broken: dict[str, _Broken] = {}
-        # By life, what showed its end and when.
+        self._checks: dict[str, _EndCheck] = {}
+        # Evidence and detection time of each ended incarnation.
         self._ended: OrderedDict[str, tuple[str, float]] = OrderedDict()
-        # Runs that were given up, and when.
-        self._left: dict[str, deque] = {}
-        self._tasks: set[asyncio.Task] = set()
+        # Times and runs of abandoned attempts, by incarnation.
+        self._abandoned: dict[str, deque] = {}
+        self._check_tasks: set[asyncio.Task] = set()
 
     def on_broken(self, target: WatchedTarget, run) -> None:
-        """Take in that the connection of a run broke; it is looked into in the background."""
-        run.is_broken = True
+        """Handle a broken connection of a run; the target is checked in the background."""
+        run.is_end_pending = True
         self._guard.name(run)
         if self._has_ended(target):
             evidence, _ = self._ended[target.life]
             self._guard.ended(run, target.pool, target.life, evidence)
             return
-        broken = self._look_into(target)
-        self._clear_answered(broken)
-        if len(broken.runs) < _MOST_RUNS:
-            broken.runs.append((broken.since, run))
-
-    def _clear_answered(self, broken):
-        """Let go of breaks after which the life answered: it had not ended at any of them."""
-        answered_at = broken.target.answered_at() - _UNDER_WAY_SECONDS
-        cleared = [run for at, run in broken.runs if at < answered_at]
-        broken.runs = [(at, run) for at, run in broken.runs if at >= answered_at]
+        check = self._start_check(target)
+        self._clear_disproven(check)
+        if len(check.runs) < _MAX_RUNS_PER_TARGET:
+            check.runs.append((check.since, run))
+
+    def _clear_disproven(self, check):
+        """Drop the breaks before the last response: the target had not ended at any of them."""
+        proven_alive_at = check.target.last_response_at() - _IN_TRANSIT_SECONDS
+        cleared = [run for at, run in check.runs if at < proven_alive_at]
+        check.runs = [(at, run) for at, run in check.runs if at >= proven_alive_at]
         for run in cleared:
-            run.is_broken = False
+            run.is_end_pending = False
             self._guard.over(run)
 
     def on_left(self, target: WatchedTarget, run) -> None:
-        """Take in that a run was given up: a target that ends right after may still have run it."""
+        """Remember an abandoned run; a target that ends right after may still have run it."""
         now = clock.monotonic()
         self._guard.name(run)
-        left = self._left.setdefault(target.life, deque(maxlen=_MOST_RUNS))
+        left = self._abandoned.setdefault(target.life, deque(maxlen=_MAX_RUNS_PER_TARGET))
         left.append((now, run))
-        for life, runs in list(self._left.items()):
-            while runs and now - runs[0][0] > _LEFT_SECONDS:
+        for life, runs in list(self._abandoned.items()):
+            while runs and now - runs[0][0] > _ABANDONED_RUN_SECONDS:
                 runs.popleft()
             if not runs:
-                del self._left[life]
+                del self._abandoned[life]
 
     def on_refused(self, target: WatchedTarget) -> None:
-        """Take in that nothing listens at a target's address, if that matters to any run."""
-        if target.life in self._left and not self._has_ended(target):
-            self._look_into(target)
+        """Check a target that refused a connection, if a run was abandoned there recently."""
+        if target.life in self._abandoned and not self._has_ended(target):
+            self._start_check(target)
 
     async def has_ended(self, target: WatchedTarget) -> bool:
-        """Return, within some 0.1 s, whether a target whose connection just broke has ended."""
-        broken = _Broken(target, clock.monotonic(), [], [])
-        for wait in _TRIES[:2]:
+        """Return within about 0.1 s whether a target whose connection just broke has ended."""
+        check = _EndCheck(target, clock.monotonic(), [], [])
+        for wait in _PROBE_DELAYS_SECONDS[:2]:
             if self._has_ended(target):
                 break
-            await asyncio.sleep(broken.since + wait - clock.monotonic())
-            if await self._is_gone(broken):
-                self._note(broken, REFUSED)
+            await asyncio.sleep(check.since + wait - clock.monotonic())
+            if await self._probe(check):
+                self._record_end(check, REFUSED)
         return self._has_ended(target)
 
     def close(self) -> None:
-        """End what is being looked into."""
-        for task in self._tasks:
+        """Cancel all running checks."""
+        for task in self._check_tasks:
             task.cancel()
 
     def _has_ended(self, target) -> bool:
-        """Return whether a life is known to have ended; an answer of it since proves otherwise."""
+        """Return whether an end is known that no later response of the target disproves."""
         found = self._ended.get(target.life)
-        if found is not None and target.answered_at() > found[1]:
+        if found is not None and target.last_response_at() > found[1]:
             del self._ended[target.life]
             found = None
         return found is not None
 
-    def _look_into(self, target) -> _Broken:
-        """Return what is known of a break; what is being looked into already is tried anew."""
+    def _start_check(self, target) -> _EndCheck:
+        """Start to check a target, or restart the probes of a running check."""
         now = clock.monotonic()
-        broken = self._broken.get(target.life)
-        if broken is None:
-            broken = self._broken[target.life] = _Broken(target, now, [], [])
-            task = asyncio.create_task(self._settle(broken))
-            self._tasks.add(task)
-            task.add_done_callback(self._tasks.discard)
-        broken.since = now
-        broken.due = [now + wait for wait in _TRIES]
-        return broken
-
-    async def _settle(self, broken):
+        check = self._checks.get(target.life)
+        if check is None:
+            check = self._checks[target.life] = _EndCheck(target, now, [], [])
+            task = asyncio.create_task(self._run_check(check))
+            self._check_tasks.add(task)
+            task.add_done_callback(self._check_tasks.discard)
+        check.since = now
+        check.due = [now + wait for wait in _PROBE_DELAYS_SECONDS]
+        return check
+
+    async def _run_check(self, check):
         try:
-            evidence = await self._find_evidence(broken)
+            evidence = await self._wait_for_evidence(check)
         finally:
-            del self._broken[broken.target.life]
+            del self._checks[check.target.life]
         if evidence:
-            self._note(broken, evidence)
+            self._record_end(check, evidence)
             return
-        decision("target-goes-on", target=broken.target.life, runs=len(broken.runs))
-        for _, run in broken.runs:
-            run.is_broken = False
+        decision("target-goes-on", target=check.target.life, runs=len(check.runs))
+        for _, run in check.runs:
+            run.is_end_pending = False
             self._guard.over(run)
 
-    async def _find_evidence(self, broken) -> str:
-        while (now := clock.monotonic()) - broken.since < _LOOK_SECONDS:
-            if broken.due and max(broken.due[0], broken.tried_at + _TRY_EVERY) <= now:
-                broken.tried_at = now
-                broken.due = [at for at in broken.due if at > now]
-                if await self._is_gone(broken):
+    async def _wait_for_evidence(self, check) -> str:
+        while (now := clock.monotonic()) - check.since < _CHECK_SECONDS:
+            if (
+                check.due
+                and max(check.due[0], check.probed_at + _MIN_PROBE_INTERVAL_SECONDS) <= now
+            ):
+                check.probed_at = now
+                check.due = [at for at in check.due if at > now]
+                if await self._probe(check):
                     return REFUSED
-            if found := broken.target.evidence():
+            if found := check.target.evidence():
                 return found
-            wait = broken.due[0] - now if broken.due else _LOOK_EVERY
-            await asyncio.sleep(min(max(wait, _TRY_EVERY / 2), _LOOK_EVERY))
+            wait = check.due[0] - now if check.due else _CHECK_INTERVAL_SECONDS
+            await asyncio.sleep(
+                min(max(wait, _MIN_PROBE_INTERVAL_SECONDS / 2), _CHECK_INTERVAL_SECONDS)
+            )
         return ""
 
-    async def _is_gone(self, broken) -> bool:
-        """Try the address; return whether nothing listened there for the second time in a row."""
-        refused = await _is_refused(broken.target.address)
-        goes_on = broken.target.answered_at() > broken.since + _UNDER_WAY_SECONDS
-        broken.refusals = broken.refusals + 1 if refused and not goes_on else 0
-        return broken.refusals > 1
+    async def _probe(self, check) -> bool:
+        """Probe the address; return whether it refused a connection twice in a row."""
+        refused = await _refuses_connections(check.target.address)
+        has_responded = check.target.last_response_at() > check.since + _IN_TRANSIT_SECONDS
+        check.refusals = check.refusals + 1 if refused and not has_responded else 0
+        return check.refusals > 1
 
-    def _note(self, broken, evidence):
-        self._clear_answered(broken)
-        target, now = broken.target, clock.monotonic()
+    def _record_end(self, check, evidence):
+        self._clear_disproven(check)
+        target, now = check.target, clock.monotonic()
         self._ended[target.life] = (evidence, now)
-        if len(self._ended) > _REMEMBERED:
+        if len(self._ended) > _MAX_ENDS_KEPT:
             self._ended.popitem(last=False)
-        left = self._left.pop(target.life, ())
+        left = self._abandoned.pop(target.life, ())
         runs = [
-            *(run for _, run in broken.runs),
-            *(run for at, run in left if now - at <= _LEFT_SECONDS),
+            *(run for _, run in check.runs),
+            *(run for at, run in left if now - at <= _ABANDONED_RUN_SECONDS),
         ]
         metrics.target_ends_total.inc({"pool": target.pool})
         decision(
@@ -206,23 +213,23 @@
             target=target.life,
             pool=target.pool,
             evidence=evidence,
-            age=round(now - broken.since, 3),
+            age=round(now - check.since, 3),
             runs=len(runs),
         )
         for run in runs:
             self._guard.ended(run, target.pool, target.life, evidence)
 
 
-async def _is_refused(address) -> bool:
-    """Return whether nothing listens at IP:PORT; an address that is silent proves nothing."""
+async def _refuses_connections(address) -> bool:
+    """Return whether IP:PORT refuses connections; a timeout counts as no."""
     host, _, port = address.rpartition(":")
     try:
-        async with asyncio.timeout(_CONNECT_SECONDS):
+        async with asyncio.timeout(_CONNECT_TIMEOUT_SECONDS):
             _, writer = await asyncio.open_connection(host, int(port))
     except ConnectionRefusedError:
         return True
     except (OSError, TimeoutError, ValueError) as error:
-        logger.debug("no sign of a target", extra={"address": address, "why": str(error)})
+        logger.debug("target not reachable", extra={"address": address, "why": str(error)})
         return False
     writer.close()
     return False
--- a/traystall/quarantine/guard.py
+++ b/traystall/quarantine/guard.py
@@ -1,4 +1,4 @@
-"""At a gateway: may a request be sent, and what became of it, by what ended its earlier runs."""
+"""The gateway side of the quarantine: admission of requests and reports of their outcomes."""
 
 import msgspec
 
@@ -7,40 +7,40 @@
 from traystall.core.ids import new_id
 from traystall.core.logs import decision
 from traystall.quarantine.digests import request_digest
-from traystall.quarantine.ends import EndWatch
-from traystall.quarantine.held import HeldSuspect, HeldSuspects
+from traystall.quarantine.ends import EndDetector
+from traystall.quarantine.held import CachedSuspect, HeldSuspects
 from traystall.quarantine.local import LocalTrials
-from traystall.quarantine.models import TRIAL_ENDS, Verdict
-from traystall.quarantine.reports import RunReports
+from traystall.quarantine.models import TRIAL_MIN_ENDS, Verdict
+from traystall.quarantine.reports import RunReporter
 from traystall.rpc.gen.wire.ttypes import EndedRun, TrialRequest
 from traystall.rpc.leader import LeaderLink
 
-# The leader is asked for a trial within so many seconds; a commit takes some round trips.
-_ASK_SECONDS = 1.0
-# While another trial is under way the leader is asked again after so many seconds, or sooner when
-# suspects change.
-_ASK_AGAIN_SECONDS = 0.1
-# When to come back where another trial is under way, in seconds.
-WAIT_RETRY_AFTER = 1.0
+# Timeout of a trial request to the leader, which needs some round trips to commit it.
+_TRIAL_CALL_TIMEOUT_SECONDS = 1.0
+# Interval of trial requests while another trial is running, unless suspects change earlier.
+_TRIAL_RETRY_SECONDS = 0.1
+# Retry-After of a request that is refused because another trial is running.
+_TRIAL_BUSY_RETRY_AFTER_SECONDS = 1.0
 
 
 class GuardedRun:
-    """Name one request for the guard; its digest is worked out only when it is wanted."""
+    """One request as the guard knows it; its digest is computed on first use."""
 
     def __init__(self, customer: str, route: str, path: str, body: bytes):
         self.customer = customer
         self.route = route
-        # The trial as which it is sent, whether this gateway granted it by itself, and whether a
-        # connection broke under it and the target's end is being looked into.
+        # Id of the trial if the request is sent as one.
         self.trial = ""
+        # Whether this gateway granted the trial without the leader.
         self.is_local = False
-        self.is_broken = False
+        # Whether its connection broke and the end of the target is not decided yet.
+        self.is_end_pending = False
         self._path = path
         self._body = body
         self._digest = b""
 
     def digest(self, key: bytes) -> bytes:
-        """Return the digest by the cluster's key; the body is not held any longer then."""
+        """Return the digest for the cluster's key, and release the body."""
         if not self._digest:
             self._digest = request_digest(key, self.customer, self._path, self._body)
             self._path, self._body = "", b""
@@ -48,28 +48,28 @@
 
 
 class Admission(msgspec.Struct, frozen=True):
-    """Say whether a request may be sent; if not, after how many seconds it may come back."""
+    """Whether a request may be sent and, if not, the seconds after which to retry and why."""
 
     may_send: bool
     retry_after: float = 0.0
     why: str = ""
 
 
-_FREE = Admission(True)
+_ADMITTED = Admission(True)
 
 
 class RequestGuard:
-    """Keep requests from targets that ended their earlier ones, for one gateway.
+    """Refuse or delay requests under which targets ended, for one gateway.
 
-    `key` is the cluster's key of digests.
+    `key` is the cluster's digest key.
     """
 
     def __init__(self, key: bytes, leader: LeaderLink):
         self.held = HeldSuspects()
-        self.reports = RunReports(leader, self._is_understood)
-        self.ends = EndWatch(self)
-        # Returns whether all control daemons that are heard know of suspects.
-        self.all_tell = lambda: self.held.is_told
+        self.reports = RunReporter(leader, self._can_report)
+        self.ends = EndDetector(self)
+        # Returns whether all control daemons in contact support suspects.
+        self.all_tell = lambda: self.held.is_initialized
         self._key = key
         self._leader = leader
         self._local = LocalTrials()
@@ -77,31 +77,31 @@
     async def admit(self, run: GuardedRun, patience: float) -> Admission:
         """Return whether a request may be sent now, waiting up to `patience` seconds for a trial.
 
-        It costs nothing while no request of its customer and route is suspected.
+        No digest is computed while no request of the same customer and route is suspected.
         """
         suspect = self.suspect(run)
         if suspect is not None and suspect.needs_trial:
             left = suspect.refused_until - clock.monotonic()
             if left > 0:
                 return self._refused(run, left, f"{suspect.ends} targets ended under it")
-            return await self._ask_for_trial(run, suspect, clock.monotonic() + patience)
-        waiting = self._waiting_ends(run)
-        if waiting >= TRIAL_ENDS:
-            return self._try_here(run, waiting)
-        return _FREE
-
-    def suspect(self, run: GuardedRun) -> HeldSuspect | None:
-        """Return what is held against a request, or None."""
-        if not self.held.concerns(run.customer, run.route):
+            return await self._request_trial(run, suspect, clock.monotonic() + patience)
+        waiting = self._unreported_ends(run)
+        if waiting >= TRIAL_MIN_ENDS:
+            return self._admit_locally(run, waiting)
+        return _ADMITTED
+
+    def suspect(self, run: GuardedRun) -> CachedSuspect | None:
+        """Return the suspect of a request, or None."""
+        if not self.held.may_contain(run.customer, run.route):
             return None
         return self.held.get(run.digest(self._key))
 
     def name(self, run: GuardedRun) -> None:
-        """Work out a request's digest, so that its body need not be held for it."""
+        """Compute the digest of a request, so that its body can be released."""
         run.digest(self._key)
 
     def ended(self, run: GuardedRun, pool: str, life: str, evidence: str) -> None:
-        """Take in that a life of a target ended while it ran a request."""
+        """Record that an incarnation of a target ended while it ran a request."""
         digest = run.digest(self._key)
         if run.is_local:
             self._local.ended(digest, clock.monotonic())
@@ -117,55 +117,59 @@
         self.reports.add_end(record)
 
     def served(self, run: GuardedRun) -> None:
-        """Take in that a request got a whole answer, which clears it."""
-        waiting, suspect = self._waiting_ends(run), self.suspect(run)
+        """Record that a request received a complete response, which clears it."""
+        waiting, suspect = self._unreported_ends(run), self.suspect(run)
         if not waiting and suspect is None:
             return
         digest = run.digest(self._key)
         self._local.served(digest, suspect.ends if suspect is not None else waiting)
         if waiting:
-            self.reports.forget_ends(digest)
+            self.reports.drop_ends(digest)
         if suspect is not None:
             self.reports.add_served(digest)
 
     def over(self, run: GuardedRun) -> None:
-        """Take in that nothing more is sent of a request: its trial is over, if it was one."""
+        """Record that a request has finished, and with it its trial, if it was one."""
         if not run.trial:
             return
         if run.is_local:
             self._local.over(run.digest(self._key))
-        elif not run.is_broken:
+        elif not run.is_end_pending:
             self.reports.add_released(run.trial)
 
-    async def _ask_for_trial(self, run, suspect, deadline) -> Admission:
+    async def _request_trial(self, run, suspect, deadline) -> Admission:
         request = TrialRequest(digest=run.digest(self._key), trial=new_id())
         while True:
             try:
-                reply = await self._leader.call(request, _ASK_SECONDS)
+                reply = await self._leader.call(request, _TRIAL_CALL_TIMEOUT_SECONDS)
             except RpcError:
-                return self._try_here(run, suspect.ends)
+                return self._admit_locally(run, suspect.ends)
             self._local.forget()
             if reply.verdict == Verdict.REFUSED:
                 return self._refused(run, reply.seconds, "its trials ended targets")
             if reply.verdict != Verdict.WAIT:
                 run.trial = request.trial if reply.verdict == Verdict.TRIAL else ""
-                return _FREE
+                return _ADMITTED
             left = deadline - clock.monotonic()
             if left <= 0:
-                return self._refused(run, WAIT_RETRY_AFTER, "another trial is under way")
-            await self.held.wait(min(left, _ASK_AGAIN_SECONDS))
+                return self._refused(
+                    run, _TRIAL_BUSY_RETRY_AFTER_SECONDS, "another trial is under way"
+                )
+            await self.held.wait(min(left, _TRIAL_RETRY_SECONDS))
             if self.suspect(run) is None:
-                return _FREE
+                return _ADMITTED
 
-    def _try_here(self, run, ends) -> Admission:
-        """Decide without the leader, which can't be asked or has not heard of the ends yet."""
+    def _admit_locally(self, run, ends) -> Admission:
+        """Decide without the leader, which is unreachable or has not received the ends yet."""
         digest = run.digest(self._key)
         if self._local.is_cleared(digest, ends):
-            return _FREE
-        if not self._local.begin(digest, clock.monotonic()):
-            return self._refused(run, WAIT_RETRY_AFTER, "the leader can't be asked about its ends")
+            return _ADMITTED
+        if not self._local.try_begin(digest, clock.monotonic()):
+            return self._refused(
+                run, _TRIAL_BUSY_RETRY_AFTER_SECONDS, "the leader can't be asked about its ends"
+            )
         run.trial, run.is_local = new_id(), True
-        return _FREE
+        return _ADMITTED
 
     def _refused(self, run, seconds, why) -> Admission:
         metrics.quarantine_refusals_total.inc({"route": run.route})
@@ -179,10 +183,10 @@
         )
         return Admission(False, seconds, why)
 
-    def _waiting_ends(self, run) -> int:
-        if not self.reports.concern(run.customer, run.route):
+    def _unreported_ends(self, run) -> int:
+        if not self.reports.has_end_of(run.customer, run.route):
             return 0
-        return self.reports.waiting_ends(run.digest(self._key))
+        return self.reports.unreported_ends(run.digest(self._key))
 
-    def _is_understood(self) -> bool:
-        return self.held.is_told and self.all_tell()
+    def _can_report(self) -> bool:
+        return self.held.is_initialized and self.all_tell()
--- a/traystall/quarantine/held.py
+++ b/traystall/quarantine/held.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of suspects: the highest version that any control daemon has told."""
+"""A gateway's cache of suspects, at the highest version received from any control daemon."""
 
 import asyncio
 import contextlib
@@ -7,12 +7,12 @@
 import msgspec
 
 from traystall.core import clock, metrics
-from traystall.quarantine.models import TRIAL_ENDS
+from traystall.quarantine.models import TRIAL_MIN_ENDS
 from traystall.rpc.gen.wire.ttypes import SuspectRecord, Suspects
 
 
-class HeldSuspect(msgspec.Struct, frozen=True):
-    """Hold what gateways are told of one suspect; refused until a monotonic time, in seconds."""
+class CachedSuspect(msgspec.Struct, frozen=True):
+    """The published part of a suspect; `refused_until` is in monotonic seconds."""
 
     digest: bytes
     customer: str
@@ -22,41 +22,41 @@
 
     @property
     def needs_trial(self) -> bool:
-        """Return whether it may be sent only with the leader's leave."""
-        return self.ends >= TRIAL_ENDS or self.refused_until > float("-inf")
+        """Return whether it may be sent only if the leader allows it."""
+        return self.ends >= TRIAL_MIN_ENDS or self.refused_until > float("-inf")
 
 
 class HeldSuspects:
-    """Hold the suspects; `take` moves forward only.
+    """The suspects in force at a gateway; `take` ignores versions below the current one.
 
-    A control daemon that was cut off, or has just started, tells of a lower version: a request
-    that was refused must not reach a target because of it.
+    A control daemon that was partitioned or has just started sends a lower version. A refused
+    request must not reach a target because of it.
     """
 
     def __init__(self):
         self.version = 0
-        # Whether any control daemon has told of suspects, if only that there are none.
-        self.is_told = False
-        self._suspects: dict[bytes, HeldSuspect] = {}
-        self._concerned: Counter[tuple[str, str]] = Counter()
+        # Whether any control daemon has sent suspects, even an empty list.
+        self.is_initialized = False
+        self._suspects: dict[bytes, CachedSuspect] = {}
+        self._customer_routes: Counter[tuple[str, str]] = Counter()
         self._changed = asyncio.Event()
 
     def __len__(self):
         return len(self._suspects)
 
-    def concerns(self, customer: str, route: str) -> bool:
-        """Return whether any suspect has this customer and route; others need no digest."""
-        return bool(self._suspects) and (customer, route) in self._concerned
+    def may_contain(self, customer: str, route: str) -> bool:
+        """Return whether any suspect has this customer and route; if not, no digest is needed."""
+        return bool(self._suspects) and (customer, route) in self._customer_routes
 
-    def get(self, digest: bytes) -> HeldSuspect | None:
+    def get(self, digest: bytes) -> CachedSuspect | None:
         """Return one suspect, or None."""
         return self._suspects.get(digest)
 
     def take(self, told: Suspects | None) -> bool:
-        """Take in what a control daemon tells; return whether it is newer than what is held."""
+        """Apply an update from a control daemon; return whether it was newer than the cache."""
         if told is None:
             return False
-        self.is_told = True
+        self.is_initialized = True
         if (told.version or 0) <= self.version:
             return False
         now = clock.monotonic()
@@ -67,27 +67,27 @@
         for digest in told.removed or ():
             self._suspects.pop(digest, None)
         self.version = told.version
-        self._on_change()
+        self._notify_changed()
         return True
 
     def to_wire(self) -> Suspects | None:
-        """Return all of it for a neighbour that starts; nothing if no control daemon told."""
-        if not self.is_told:
+        """Return all suspects for a peer that is starting, or None before the first update."""
+        if not self.is_initialized:
             return None
         now = clock.monotonic()
         changed = [_to_record(row, now) for row in self._suspects.values()]
         return Suspects(version=self.version, full=True, changed=changed, removed=[])
 
     async def wait(self, seconds: float) -> None:
-        """Return once something has changed, or after `seconds`."""
+        """Return after the next change, or after `seconds`."""
         changed = self._changed
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
                 await changed.wait()
 
-    def _on_change(self):
+    def _notify_changed(self):
         rows = self._suspects.values()
-        self._concerned = Counter((row.customer, row.route) for row in rows)
+        self._customer_routes = Counter((row.customer, row.route) for row in rows)
         metrics.suspects.set({}, len(self._suspects))
         now = clock.monotonic()
         metrics.quarantined.set({}, sum(1 for row in rows if row.refused_until > now))
@@ -95,9 +95,9 @@
         changed.set()
 
 
-def _from_record(record: SuspectRecord, now: float) -> HeldSuspect:
+def _from_record(record: SuspectRecord, now: float) -> CachedSuspect:
     refused = record.refused or 0.0
-    return HeldSuspect(
+    return CachedSuspect(
         digest=record.digest,
         customer=record.customer or "",
         route=record.route or "",
@@ -106,7 +106,7 @@
     )
 
 
-def _to_record(row: HeldSuspect, now: float) -> SuspectRecord:
+def _to_record(row: CachedSuspect, now: float) -> SuspectRecord:
     return SuspectRecord(
         digest=row.digest,
         customer=row.customer,
--- a/traystall/quarantine/models.py
+++ b/traystall/quarantine/models.py
@@ -1,26 +1,29 @@
-"""Commands about suspects, their answers, and what is kept of one. Times are log time, seconds."""
+"""Commands about suspects, their results, and the suspect itself.
+
+A suspect is a request under which targets ended. Times are log time in seconds.
+"""
 
 from enum import StrEnum
 
 import msgspec
 
-# From so many ends on all gateways are told of a request: a single one is most often an accident
-# of the target, and telling each request that ran beside it would cost a row for each.
-TOLD_ENDS = 2
-# From so many ends on a request is sent only as a trial, one at a time.
-TRIAL_ENDS = 3
-# So many trials are granted without a whole answer before a request is refused. With the ends
-# before them and one arrival at a gateway that had not been told, no more than three follow.
+# Number of ends from which a suspect is published to all gateways. A single end is most often the
+# target's own fault, and publishing it would cost a row for every request that ran there.
+PUBLISH_MIN_ENDS = 2
+# Number of ends from which a request is sent only as a trial, one at a time.
+TRIAL_MIN_ENDS = 3
+# Trials without a complete response before a request is refused. Including one arrival at a gateway
+# that has not been notified yet, at most three more targets end after the first three.
 MOST_TRIALS = 2
-# A trial whose gateway says nothing more is over after so long: longer than most answers take.
+# A trial expires after this time if its gateway reports no outcome. Most responses take less.
 TRIAL_SECONDS = 15.0
 
 
 class EndedRun(msgspec.Struct, frozen=True):
-    """Tell that a life of a target ended while it ran a request.
+    """Report that an incarnation of a target ended while it ran a request.
 
-    `life` names the target and its start; `evidence` says how the end was seen; `trial` is the
-    trial as which the request was sent, if any.
+    `life` names the incarnation, `evidence` says how the end was detected, and `trial` is the id
+    of the trial if the request was sent as one.
     """
 
     digest: bytes
@@ -33,7 +36,11 @@
 
 
 class ReportRuns(msgspec.Struct, frozen=True, tag="report_runs"):
-    """Tell what became of runs: ends of targets, whole answers by digest, trials that are over."""
+    """Report outcomes of runs.
+
+    `ended` holds ends of targets, `served` the digests of requests that received a complete
+    response, `released` the ids of trials that finished with neither.
+    """
 
     ended: tuple[EndedRun, ...]
     served: tuple[bytes, ...]
@@ -42,7 +49,7 @@
 
 
 class BeginTrial(msgspec.Struct, frozen=True, tag="begin_trial"):
-    """Ask whether a request may be sent, as the trial named `trial`."""
+    """Ask whether a request may be sent, as the trial with the id `trial` if one is needed."""
 
     digest: bytes
     trial: str
@@ -50,7 +57,7 @@
 
 
 class LiftSuspect(msgspec.Struct, frozen=True, tag="lift_suspect"):
-    """Forget what is held against a request, by order of `operator`."""
+    """Remove the suspect of a request on behalf of `operator`."""
 
     digest: bytes
     operator: str
@@ -58,7 +65,7 @@
 
 
 class Verdict(StrEnum):
-    """Say whether a suspect may be sent now."""
+    """Whether a suspect may be sent now."""
 
     FREE = "free"
     TRIAL = "trial"
@@ -67,7 +74,7 @@
 
 
 class Event(StrEnum):
-    """Name what became of a suspect."""
+    """A change of a suspect that is logged."""
 
     SUSPECTED = "suspected"
     REFUSED = "refused"
@@ -75,7 +82,7 @@
 
 
 class SuspectNews(msgspec.Struct, frozen=True):
-    """Tell what became of a suspect and why; `age` is how long it has been known, in seconds."""
+    """A change of a suspect with its reason; `age` is the seconds since the suspect was added."""
 
     event: Event
     digest: bytes
@@ -87,7 +94,7 @@
 
 
 class TrialResult(msgspec.Struct, frozen=True):
-    """Answer who wants to send a suspect; `seconds` is how long it stays refused."""
+    """The result of BeginTrial; `seconds` is the remaining time of a refusal."""
 
     verdict: Verdict
     seconds: float = 0.0
@@ -95,10 +102,10 @@
 
 
 class Suspect(msgspec.Struct):
-    """Hold what is known of one request.
+    """A request under which targets ended.
 
-    `lives` are the lives of targets that ended under it, `version` that of the table when it last
-    changed for others. It is refused from `refused_at` on, if that is set.
+    `lives` names the target incarnations that ended under it. `version` is the version of the
+    table at the last published change. The request is refused from `refused_at` on, if set.
     """
 
     digest: bytes
@@ -117,10 +124,10 @@
 
     @property
     def ends(self) -> int:
-        """Return how many lives of targets have ended under it."""
+        """Return the number of target incarnations that ended under it."""
         return len(self.lives)
 
     @property
-    def is_told(self) -> bool:
-        """Return whether gateways are told of it."""
-        return self.ends >= TOLD_ENDS or self.refused_at is not None
+    def is_published(self) -> bool:
+        """Return whether this suspect is published to gateways."""
+        return self.ends >= PUBLISH_MIN_ENDS or self.refused_at is not None
--- a/traystall/quarantine/reports.py
+++ b/traystall/quarantine/reports.py
@@ -1,4 +1,4 @@
-"""Tell the leader what became of runs, until it has heard."""
+"""Delivery of the outcomes of runs to the leader, with retries until they are acknowledged."""
 
 import asyncio
 import logging
@@ -8,21 +8,21 @@
 from traystall.rpc.gen.wire.ttypes import EndedRun, ReportRunsRequest
 from traystall.rpc.leader import LeaderLink
 
-# What waits for the leader at the most, in ends: at 150 bytes each 300 KB. The oldest are dropped.
-_MOST_WAITING = 2000
-# So many ends go in one message, 30 KB: 50 ms of a link of 5 Mbit/s.
-_MOST_AT_ONCE = 200
-_CALL_SECONDS = 2.0
+# Limit of the ends queued for the leader, 300 KB at 150 bytes each. The oldest ones are dropped.
+_MAX_PENDING_ENDS = 2000
+# One message then has 30 KB, which take 50 ms on a link of 5 Mbit/s.
+_MAX_ENDS_PER_MESSAGE = 200
+_CALL_TIMEOUT_SECONDS = 2.0
 _RETRY_SECONDS = 0.25
 
 logger = logging.getLogger(__name__)
 
 
-class RunReports:
-    """Gather reports and send them in order; sending again changes nothing.
+class RunReporter:
+    """Queue reports and send them in order; they are idempotent, so a retry is harmless.
 
-    `may_send` returns whether all control daemons that are heard know such reports: one of an
-    earlier release would close the link over which its configuration comes.
+    `may_send` returns whether all control daemons in contact support these reports. A daemon of an
+    earlier release would close the link, over which the gateway also receives its configuration.
     """
 
     def __init__(self, leader: LeaderLink, may_send: Callable[[], bool]):
@@ -34,37 +34,40 @@
         self._wake = asyncio.Event()
 
     def add_end(self, ended: EndedRun) -> None:
-        """Tell that a target ended under a request."""
+        """Queue the end of a target under a request."""
         self._ended.append(ended)
-        if len(self._ended) > _MOST_WAITING:
+        if len(self._ended) > _MAX_PENDING_ENDS:
             del self._ended[0]
-            logger.warning("an end of a target is not reported", extra={"waiting": _MOST_WAITING})
+            logger.warning(
+                "report queue is full; dropped the oldest target end",
+                extra={"waiting": _MAX_PENDING_ENDS},
+            )
         self._wake.set()
 
     def add_served(self, digest: bytes) -> None:
-        """Tell that a request got a whole answer."""
+        """Queue that a request received a complete response."""
         self._served.add(digest)
         self._wake.set()
 
     def add_released(self, trial: str) -> None:
-        """Tell that a trial is over without an end or an answer."""
+        """Queue that a trial finished without an end or a complete response."""
         self._released.append(trial)
         self._wake.set()
 
-    def concern(self, customer: str, route: str) -> bool:
-        """Return whether an end under a request of this customer and route waits for the leader."""
+    def has_end_of(self, customer: str, route: str) -> bool:
+        """Return whether an end under a request of this customer and route is queued."""
         return any(one.customer == customer and one.route == route for one in self._ended)
 
-    def waiting_ends(self, digest: bytes) -> int:
-        """Return how many lives ended under a request that the leader has not heard of."""
+    def unreported_ends(self, digest: bytes) -> int:
+        """Return the number of incarnations that ended under a request and are not reported yet."""
         return len({one.life for one in self._ended if one.digest == digest})
 
-    def forget_ends(self, digest: bytes) -> None:
-        """Drop the ends under a request that got a whole answer since."""
+    def drop_ends(self, digest: bytes) -> None:
+        """Drop the queued ends of a request that has since received a complete response."""
         self._ended = [one for one in self._ended if one.digest != digest]
 
     async def send_forever(self) -> None:
-        """Send what was added, as soon as there is anything."""
+        """Send queued reports as soon as there are any."""
         while True:
             await self._wake.wait()
             self._wake.clear()
@@ -75,13 +78,16 @@
     async def _send(self) -> bool:
         if not self._may_send():
             return False
-        ended, served = self._ended[:_MOST_AT_ONCE], list(self._served)
+        ended, served = self._ended[:_MAX_ENDS_PER_MESSAGE], list(self._served)
         released = list(self._released)
         request = ReportRunsRequest(ended=ended, served=served, released=released)
         try:
-            await self._leader.call(request, _CALL_SECONDS)
+            await self._leader.call(request, _CALL_TIMEOUT_SECONDS)
         except RpcError as error:
-            logger.info("runs not reported", extra={"ends": len(self._ended), "why": str(error)})
+            logger.info(
+                "outcomes of runs not reported; retrying",
+                extra={"ends": len(self._ended), "why": str(error)},
+            )
             return False
         sent = set(map(id, ended))
         self._ended = [one for one in self._ended if id(one) not in sent]
--- a/traystall/quarantine/state.py
+++ b/traystall/quarantine/state.py
@@ -1,9 +1,10 @@
-"""The suspects: a pure state machine behind the replicated log.
+"""The table of suspects: a pure state machine that applies commands of the replicated log.
 
-A request that ends each target that runs it is told from those that ran beside it by this: it
-never gets a whole answer. Any whole answer clears a request; one that has ended three targets
-without is tried alone, and refused if that ends a target too. Ends that a refused request explains
-are taken off the others.
+A request that crashes every target that runs it never receives a complete response; the requests
+that ran beside it do. A complete response therefore clears a request. After three target ends
+without one, a request may run only as a trial, one trial at a time in each pool. If the trial ends
+its target too, the request is refused. The ends that a refused request explains are removed from
+all other suspects.
 """
 
 from collections import Counter, OrderedDict
@@ -13,7 +14,7 @@
 from traystall.core.serialization import pack, unpack
 from traystall.quarantine.models import (
     MOST_TRIALS,
-    TRIAL_ENDS,
+    TRIAL_MIN_ENDS,
     TRIAL_SECONDS,
     BeginTrial,
     EndedRun,
@@ -26,26 +27,27 @@
     Verdict,
 )
 
-# A request is refused for so long, in seconds; then one trial tells whether targets were mended.
-REFUSED_SECONDS = 3600.0
-# What is held against a request that is not refused is forgotten so long after its last end.
-SUSPECT_SECONDS = 3600.0
-# The same for one that was refused.
-FORGET_SECONDS = 24 * 3600.0
-# Suspects in all, and of one customer, so that none can push others' out: at 0.65 KB each 1.3 MB in
-# memory and snapshots. If all were told, a gateway that starts would take 130 KB from each daemon.
-MOST_SUSPECTS = 2048
-MOST_OF_CUSTOMER = 128
-# Lives that are remembered of one suspect.
-_MOST_LIVES = 16
-# Removals that are remembered, so that a watcher needs no full list.
-_MOST_REMOVED = 1024
-# At the least between two searches for what can be forgotten, in seconds of log time.
-_FORGET_EVERY = 30.0
+# How long a request is refused. One trial afterwards shows whether the targets have been fixed.
+REFUSAL_SECONDS = 3600.0
+# A suspect that is not refused is dropped this long after its last end.
+SUSPECT_RETENTION_SECONDS = 3600.0
+# A suspect that was refused is dropped this long after its last end.
+REFUSED_RETENTION_SECONDS = 24 * 3600.0
+# The limit per customer keeps one customer from evicting the suspects of others. At 0.65 KB each,
+# all suspects take 1.3 MB in memory and in snapshots. If all were published, a starting gateway
+# would load 130 KB from each control daemon.
+MAX_SUSPECTS = 2048
+MAX_SUSPECTS_PER_CUSTOMER = 128
+# Target incarnations kept for one suspect.
+_MAX_LIVES_PER_SUSPECT = 16
+# Removals kept, so that a subscriber can be sent the changes instead of the full list.
+_MAX_REMOVALS_KEPT = 1024
+# Shortest time between two searches for expired suspects, in seconds of log time.
+_EXPIRY_INTERVAL_SECONDS = 30.0
 
 
 class QuarantineSnapshot(msgspec.Struct, frozen=True):
-    """Hold all suspects for a snapshot."""
+    """The encoded form of a SuspectTable in a snapshot."""
 
     time: float
     version: int
@@ -53,7 +55,7 @@
 
 
 class SuspectChanges(msgspec.Struct, frozen=True):
-    """Hold what changed since a version, or everything if `full`."""
+    """The suspects changed and removed since a version, or all suspects if `full`."""
 
     version: int
     full: bool
@@ -62,84 +64,89 @@
 
 
 class SuspectTable:
-    """Count ends and decide in log order; every replica decides alike."""
+    """Count target ends and decide on trials in log order.
+
+    Decisions depend only on the commands and their order, so all replicas reach the same ones.
+    """
 
     def __init__(self):
         self.time = 0.0
         self.version = 0
         self._suspects: dict[bytes, Suspect] = {}
         self._removed: OrderedDict[bytes, int] = OrderedDict()
-        # Removals up to this version are not remembered.
-        self._removed_floor = 0
-        self._forget_due = 0.0
+        # Removals up to this version have been discarded.
+        self._discarded_removals_version = 0
+        self._next_expiry_at = 0.0
 
     def get(self, digest: bytes) -> Suspect | None:
-        """Return what is held against a request, or None."""
+        """Return the suspect of a request digest, or None."""
         return self._suspects.get(digest)
 
     def listed(self) -> list[Suspect]:
-        """Return the suspects that gateways are told of, the refused ones first."""
-        told = [row for row in self._suspects.values() if row.is_told]
-        return sorted(told, key=lambda row: (row.refused_at is None, -row.ends, row.last))
+        """Return the suspects that are published to gateways, refused ones first."""
+        published = [row for row in self._suspects.values() if row.is_published]
+        return sorted(published, key=lambda row: (row.refused_at is None, -row.ends, row.last))
 
     def __len__(self):
         return len(self._suspects)
 
     def refused_seconds(self, row: Suspect) -> float:
-        """Return how long a suspect stays refused, 0 if it is not."""
+        """Return the seconds for which a suspect stays refused, 0 if it is not refused."""
         if row.refused_at is None:
             return 0.0
-        return max(0.0, row.refused_at + REFUSED_SECONDS - self.time)
+        return max(0.0, row.refused_at + REFUSAL_SECONDS - self.time)
 
     def since(self, version: int) -> SuspectChanges:
-        """Return what a watcher lacks that knows a version."""
-        if version < self._removed_floor or version <= 0:
+        """Return the changes for a subscriber that holds `version`."""
+        if version < self._discarded_removals_version or version <= 0:
             return SuspectChanges(self.version, True, self.listed(), [])
-        changed = [row for row in self._suspects.values() if row.is_told and row.version > version]
+        changed = [
+            row for row in self._suspects.values() if row.is_published and row.version > version
+        ]
         removed = [digest for digest, at in self._removed.items() if at > version]
         return SuspectChanges(self.version, False, changed, removed)
 
     # ---- commands ----
 
     def report(self, command: ReportRuns) -> list[SuspectNews]:
-        """Take in what became of runs; return what that made of suspects."""
+        """Apply the outcomes of runs; return the resulting changes of suspects."""
         self._advance(command.time)
         news: list[SuspectNews] = []
         for ended in command.ended:
-            self._count(ended, news)
+            self._count_end(ended, news)
         for digest in command.served:
             row = self._suspects.get(digest)
             if row is not None:
-                self._clear(row, "it got a whole answer", news)
+                self._clear(row, "it received a complete response", news)
         for row in self._suspects.values() if command.released else ():
             if row.trial in command.released:
                 _end_trial(row)
         return news
 
     def begin_trial(self, command: BeginTrial) -> TrialResult:
-        """Answer whether a request may be sent now: at most one trial of a pool at a time."""
+        """Decide whether a request may be sent now; a pool has at most one trial at a time."""
         self._advance(command.time)
         row = self._suspects.get(command.digest)
-        if row is None or (row.ends < TRIAL_ENDS and row.refused_at is None):
+        if row is None or (row.ends < TRIAL_MIN_ENDS and row.refused_at is None):
             return TrialResult(Verdict.FREE)
         if self.refused_seconds(row):
             return TrialResult(Verdict.REFUSED, self.refused_seconds(row))
         if row.refused_at is not None:
-            # It was refused long enough: one trial tells whether that still holds.
+            # The refusal has expired: one trial shows whether the request still ends targets.
             row.refused_at, row.trials = None, MOST_TRIALS - 1
-            self._mark(row)
-        if self._is_pool_tried(row.pool):
+            self._record_change(row)
+        if self._has_running_trial(row.pool):
             return TrialResult(Verdict.WAIT)
         if row.trials >= MOST_TRIALS:
             news: list[SuspectNews] = []
-            self._refuse(row, "its trials ended without an answer", news)
-            return TrialResult(Verdict.REFUSED, REFUSED_SECONDS, tuple(news))
+            self._refuse(row, "its trials ended without a complete response", news)
+            return TrialResult(Verdict.REFUSED, REFUSAL_SECONDS, tuple(news))
         row.trials += 1
         row.trial, row.trial_until = command.trial, self.time + TRIAL_SECONDS
         return TrialResult(Verdict.TRIAL)
 
     def lift(self, command: LiftSuspect) -> list[SuspectNews]:
-        """Forget what is held against a request; return the news, none if nothing was."""
+        """Remove the suspect of a request; return the change, or none if it was no suspect."""
         self._advance(command.time)
         news: list[SuspectNews] = []
         row = self._suspects.get(command.digest)
@@ -154,56 +161,58 @@
         return pack(QuarantineSnapshot(self.time, self.version, list(self._suspects.values())))
 
     def restore(self, data: bytes) -> None:
-        """Replace the state by an encoded one; empty data is of a time before any suspect."""
+        """Replace the state with an encoded one; it is empty in snapshots of earlier releases."""
         held = unpack(data, QuarantineSnapshot) if data else QuarantineSnapshot(0.0, 0, [])
         self.time, self.version = held.time, held.version
         self._suspects = {row.digest: row for row in held.suspects}
         self._removed.clear()
-        self._removed_floor = held.version
-        self._forget_due = 0.0
+        self._discarded_removals_version = held.version
+        self._next_expiry_at = 0.0
 
     # ---- steps ----
 
-    def _count(self, ended: EndedRun, news):
+    def _count_end(self, ended: EndedRun, news):
         row = self._suspects.get(ended.digest) or self._add(ended)
         if ended.life not in row.lives:
-            row.lives = [*row.lives, ended.life][-_MOST_LIVES:]
+            row.lives = [*row.lives, ended.life][-_MAX_LIVES_PER_SUSPECT:]
             row.last, row.pool, row.evidence = self.time, ended.pool, ended.evidence
-            if row.is_told:
-                self._mark(row)
-                news.append(self._news(Event.SUSPECTED, row, ended.evidence))
+            if row.is_published:
+                self._record_change(row)
+                news.append(self._make_update(Event.SUSPECTED, row, ended.evidence))
         if ended.trial and ended.trial == row.trial and row.refused_at is None:
             self._refuse(row, f"its trial ended {ended.life}", news)
 
     def _refuse(self, row, why, news):
         row.refused_at = self.time
         _end_trial(row)
-        self._mark(row)
-        news.append(self._news(Event.REFUSED, row, why))
+        self._record_change(row)
+        news.append(self._make_update(Event.REFUSED, row, why))
         explained = set(row.lives)
         for other in list(self._suspects.values()):
             if other.refused_at is None and not explained.isdisjoint(other.lives):
-                self._take_off(other, explained, news)
+                self._remove_explained_ends(other, explained, news)
 
-    def _take_off(self, row, explained, news):
-        """Take ends off a suspect that another one explains."""
-        was_told = row.is_told
+    def _remove_explained_ends(self, row, explained, news):
+        """Remove the ends that a refused request explains from another suspect."""
+        was_published = row.is_published
         row.lives = [life for life in row.lives if life not in explained]
-        if was_told and not row.is_told:
-            self._tell_removed(row.digest)
-            news.append(self._news(Event.CLEARED, row, "another request explains its ends"))
-        elif was_told:
-            self._mark(row)
+        if was_published and not row.is_published:
+            self._record_removal(row.digest)
+            news.append(
+                self._make_update(Event.CLEARED, row, "its ends are explained by another request")
+            )
+        elif was_published:
+            self._record_change(row)
         if not row.lives:
             del self._suspects[row.digest]
 
     def _clear(self, row, why, news):
-        if row.is_told:
-            news.append(self._news(Event.CLEARED, row, why))
+        if row.is_published:
+            news.append(self._make_update(Event.CLEARED, row, why))
         self._remove(row)
 
     def _add(self, ended) -> Suspect:
-        self._make_room(ended.customer)
+        self._evict_if_full(ended.customer)
         row = Suspect(
             digest=ended.digest,
             customer=ended.customer,
@@ -215,55 +224,57 @@
         self._suspects[ended.digest] = row
         return row
 
-    def _make_room(self, customer):
-        """Forget the least of the customer's own suspects, or of the one with the most."""
+    def _evict_if_full(self, customer):
+        """Evict a suspect of `customer` at its limit, or of the largest customer at the total."""
         counts = Counter(row.customer for row in self._suspects.values())
-        if counts[customer] >= MOST_OF_CUSTOMER:
-            self._forget_least(customer)
-        elif len(self._suspects) >= MOST_SUSPECTS:
-            self._forget_least(max(sorted(counts), key=counts.__getitem__))
+        if counts[customer] >= MAX_SUSPECTS_PER_CUSTOMER:
+            self._evict_from_customer(customer)
+        elif len(self._suspects) >= MAX_SUSPECTS:
+            self._evict_from_customer(max(sorted(counts), key=counts.__getitem__))
 
-    def _forget_least(self, customer):
+    def _evict_from_customer(self, customer):
         own = [row for row in self._suspects.values() if row.customer == customer]
         least = min(own, key=lambda row: (row.refused_at or 0.0, row.ends, row.last, row.digest))
         self._remove(least)
 
     def _remove(self, row):
         del self._suspects[row.digest]
-        if row.is_told:
-            self._tell_removed(row.digest)
+        if row.is_published:
+            self._record_removal(row.digest)
 
-    def _tell_removed(self, digest):
+    def _record_removal(self, digest):
         self.version += 1
         self._removed[digest] = self.version
         self._removed.move_to_end(digest)
-        while len(self._removed) > _MOST_REMOVED:
-            _, self._removed_floor = self._removed.popitem(last=False)
+        while len(self._removed) > _MAX_REMOVALS_KEPT:
+            _, self._discarded_removals_version = self._removed.popitem(last=False)
 
-    def _mark(self, row):
+    def _record_change(self, row):
         self.version += 1
         row.version = self.version
         self._removed.pop(row.digest, None)
 
-    def _is_pool_tried(self, pool) -> bool:
-        """Return whether a trial is under way that an end of a target of a pool would blame."""
+    def _has_running_trial(self, pool) -> bool:
+        """Return whether a pool has a running trial, to which the next end is attributed."""
         return any(
             row.trial and row.pool == pool and row.trial_until > self.time
             for row in self._suspects.values()
         )
 
     def _advance(self, time):
-        """Move log time forward and forget what is old."""
+        """Advance the log time and remove expired suspects."""
         self.time = max(self.time, time)
-        if self.time < self._forget_due:
+        if self.time < self._next_expiry_at:
             return
-        self._forget_due = self.time + _FORGET_EVERY
+        self._next_expiry_at = self.time + _EXPIRY_INTERVAL_SECONDS
         for row in list(self._suspects.values()):
-            limit = SUSPECT_SECONDS if row.refused_at is None else FORGET_SECONDS
+            limit = (
+                SUSPECT_RETENTION_SECONDS if row.refused_at is None else REFUSED_RETENTION_SECONDS
+            )
             if self.time - row.last > limit:
                 self._remove(row)
 
-    def _news(self, event, row, why) -> SuspectNews:
+    def _make_update(self, event, row, why) -> SuspectNews:
         age = self.time - row.since
         return SuspectNews(event, row.digest, row.customer, row.route, row.ends, why, age)
 
--- a/traystall/quarantine/wire.py
+++ b/traystall/quarantine/wire.py
@@ -1,4 +1,4 @@
-"""Turn suspects into wire messages."""
+"""Conversion of suspects to RPC messages."""
 
 from traystall.quarantine.models import Suspect
 from traystall.quarantine.state import SuspectTable
@@ -6,7 +6,7 @@
 
 
 def to_wire(table: SuspectTable, known: int) -> Suspects:
-    """Return what a watcher lacks that knows version `known`: about 60 bytes a suspect."""
+    """Return the changes for a subscriber that holds version `known`, about 60 bytes a suspect."""
     changes = table.since(known)
     return Suspects(
         version=changes.version,
@@ -17,7 +17,7 @@
 
 
 def to_details(table: SuspectTable) -> list[SuspectDetail]:
-    """Return the suspects as operators see them."""
+    """Return the published suspects with all details, for operators."""
     return [_to_detail(table, row) for row in table.listed()]
 
 
