--- a/tests/quarantine/__init__.py
+++ b/tests/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of what is kept of requests under which targets have ended."""
+"""Tests of the quarantine of requests under which targets end."""
--- a/tests/quarantine/test_guard.py
+++ b/tests/quarantine/test_guard.py
@@ -1,4 +1,4 @@
-"""A gateway's guard: what it costs, what it keeps, and what it does when nobody answers it."""
+"""The guard of a gateway: its cost, what it stores, and decisions without the leader."""
 
 import asyncio
 
@@ -11,21 +11,21 @@
 from traystall.quarantine.guard import GuardedRun
 from traystall.quarantine.wire import to_wire
 
-MARK = b"MARKED PAYLOAD"
+MARKED_BODY = b"MARKED PAYLOAD"
 
 
-def new_run(body=MARK, customer="ana", path="host/path"):
+def new_run(body=MARKED_BODY, customer="ana", path="host/path"):
     return GuardedRun(customer, "route", path, body)
 
 
-def play(story):
+def run_scenario(scenario):
     async def bounded():
         leader = LocalLeader()
         guards = [leader.guard() for _ in range(3)]
         tasks = [asyncio.create_task(guard.reports.send_forever()) for guard in guards]
         try:
             async with asyncio.timeout(20):
-                await story(leader, guards)
+                await scenario(leader, guards)
         finally:
             for task in tasks:
                 task.cancel()
@@ -33,7 +33,7 @@
     asyncio.run(bounded())
 
 
-async def settle():
+async def wait_for_reports():
     for _ in range(10):
         await asyncio.sleep(0.005)
 
@@ -41,15 +41,15 @@
 async def end_three(guards, run=None):
     for number in range(3):
         guards[number % len(guards)].ended(run or new_run(), "engine", f"life-{number}", "refused")
-    await settle()
+    await wait_for_reports()
 
 
-def test_nothing_is_worked_out_while_nothing_is_suspected(monkeypatch):
-    """Digests are what costs: 4 ms for 4 MiB."""
+def test_no_digest_is_computed_without_suspects(monkeypatch):
+    """The digest is the expensive part: 4 ms for 4 MiB."""
 
-    async def story(leader, guards):
+    async def scenario(leader, guards):
         def fail(*arguments):
-            raise AssertionError("A digest was worked out.")
+            raise AssertionError("A digest was computed.")
 
         monkeypatch.setattr(guard_module, "request_digest", fail)
         for _ in range(100):
@@ -58,41 +58,41 @@
             guards[0].served(run)
             guards[0].over(run)
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_requests_of_another_customer_or_route_cost_nothing_either(monkeypatch):
-    async def story(leader, guards):
+def test_no_digest_is_computed_for_another_customer_or_route(monkeypatch):
+    async def scenario(leader, guards):
         await end_three(guards)
 
         def fail(*arguments):
-            raise AssertionError("A digest was worked out.")
+            raise AssertionError("A digest was computed.")
 
         monkeypatch.setattr(guard_module, "request_digest", fail)
         assert (await guards[0].admit(new_run(customer="bert"), 0.1)).may_send
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_what_one_gateway_saw_binds_all():
-    async def story(leader, guards):
+def test_suspects_apply_to_all_gateways():
+    async def scenario(leader, guards):
         await end_three(guards)
         trial = new_run()
         assert (await guards[1].admit(trial, 0.1)).may_send
         assert trial.trial
         assert not (await guards[2].admit(new_run(), 0.05)).may_send
         guards[1].ended(trial, "engine", "life-of-trial", "refused")
-        await settle()
+        await wait_for_reports()
         for guard in guards:
             admission = await guard.admit(new_run(), 0.1)
             assert not admission.may_send
             assert admission.retry_after > 3000
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_copies_at_all_gateways_at_once_get_one_trial():
-    async def story(leader, guards):
+def test_concurrent_copies_at_all_gateways_get_one_trial():
+    async def scenario(leader, guards):
         await end_three(guards)
         runs = [new_run() for _ in range(30)]
         admissions = await asyncio.gather(
@@ -102,11 +102,11 @@
         assert leader.trials == 1
         assert all(a.retry_after == 1.0 for a in admissions if not a.may_send)
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_whole_answer_of_a_trial_lets_those_that_wait_go_on():
-    async def story(leader, guards):
+def test_complete_response_of_a_trial_admits_waiting_requests():
+    async def scenario(leader, guards):
         await end_three(guards)
         trial = new_run()
         await guards[0].admit(trial, 0.1)
@@ -117,25 +117,25 @@
         assert len(leader.table) == 0
         assert all(len(guard.held) == 0 for guard in guards)
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_trial_that_is_over_without_a_sign_is_given_back():
-    async def story(leader, guards):
+def test_trial_that_finishes_without_outcome_is_released():
+    async def scenario(leader, guards):
         await end_three(guards)
         trial = new_run()
         await guards[0].admit(trial, 0.1)
         guards[0].over(trial)
-        await settle()
+        await wait_for_reports()
         assert (await guards[1].admit(new_run(), 0.0)).may_send
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_cut_off_gateway_goes_by_what_it_has_seen():
-    """One run at a time; when that ends a target too it is refused here until the cut is over."""
+def test_partitioned_gateway_decides_by_its_own_trials():
+    """It runs one trial at a time, and refuses the request after a trial that ends a target."""
 
-    async def story(leader, guards):
+    async def scenario(leader, guards):
         leader.is_lost = True
         await end_three(guards[:1])
         trial = new_run()
@@ -148,17 +148,17 @@
         assert (await guards[0].admit(new_run(b"another"), 0.1)).may_send
         leader.is_lost = False
         await asyncio.sleep(0.5)
-        assert leader.table.get(request_digest(KEY, "ana", "host/path", MARK)).ends == 4
+        assert leader.table.get(request_digest(KEY, "ana", "host/path", MARKED_BODY)).ends == 4
 
-    play(story)
+    run_scenario(scenario)
 
 
-@pytest.mark.parametrize("is_told", [False, True])
-def test_whole_answer_at_a_cut_off_gateway_clears_it_there(is_told):
-    """A harmless request that many callers send must not be lost for as long as a cut lasts."""
+@pytest.mark.parametrize("is_reported", [False, True])
+def test_complete_response_at_a_partitioned_gateway_clears_the_request(is_reported):
+    """A harmless request of many callers must not be refused for the whole partition."""
 
-    async def story(leader, guards):
-        leader.is_lost = not is_told
+    async def scenario(leader, guards):
+        leader.is_lost = not is_reported
         await end_three(guards[:1])
         leader.is_lost = True
         trial = new_run()
@@ -168,28 +168,28 @@
         for _ in range(3):
             assert (await guards[0].admit(new_run(), 0.1)).may_send
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_what_is_refused_stays_refused_while_the_leader_cannot_be_asked():
-    async def story(leader, guards):
+def test_refusal_holds_while_the_leader_is_unreachable():
+    async def scenario(leader, guards):
         await end_three(guards)
         trial = new_run()
         await guards[0].admit(trial, 0.1)
         guards[0].ended(trial, "engine", "life-of-trial", "refused")
-        await settle()
+        await wait_for_reports()
         leader.is_lost = True
         admission = await guards[1].admit(new_run(), 0.1)
         assert not admission.may_send
         assert admission.retry_after > 3000
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_lower_version_undoes_nothing():
-    """A control daemon that has just started, or lags, tells of less."""
+def test_lower_version_is_ignored():
+    """A control daemon that has just started or lags behind sends a lower version."""
 
-    async def story(leader, guards):
+    async def scenario(leader, guards):
         await end_three(guards)
         stale = LocalLeader()
         stale_guard = stale.guard()
@@ -198,35 +198,35 @@
         assert not guards[0].held.take(to_wire(stale.table, 0))
         assert len(guards[0].held) == before == 1
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_nothing_of_a_request_is_kept_or_told():
-    async def story(leader, guards):
-        run = GuardedRun("ana", "route", "host/MARKED PATH", MARK)
+def test_no_content_of_a_request_is_stored():
+    async def scenario(leader, guards):
+        run = GuardedRun("ana", "route", "host/MARKED PATH", MARKED_BODY)
         for number in range(3):
             guards[0].ended(run, "engine", f"life-{number}", "refused")
-        await settle()
+        await wait_for_reports()
         assert len(leader.table) == 1
         assert b"MARKED" not in leader.table.snapshot()
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_body_is_not_held_for_an_end_that_may_come():
-    """512 runs of 4 MiB that were given up would be two gigabytes."""
+def test_body_is_released_while_an_end_is_checked():
+    """The bodies of 512 abandoned runs of 4 MiB would take two gigabytes."""
 
-    async def story(leader, guards):
-        for looked_into in (guards[0].ends.on_broken, guards[0].ends.on_left):
+    async def scenario(leader, guards):
+        for handle in (guards[0].ends.on_broken, guards[0].ends.on_left):
             run = new_run(bytes(100_000))
-            looked_into(WatchedTarget("life", "127.0.0.1:1", "engine"), run)
+            handle(WatchedTarget("life", "127.0.0.1:1", "engine"), run)
             assert run._body == b""
         guards[0].ends.close()
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_digest_needs_the_clusters_key_and_tells_requests_apart():
+def test_digest_depends_on_the_key_and_the_request():
     ours = request_digest(make_key("c", "secret"), "ana", "a", b"b")
     assert len(ours) == 16
     others = {
@@ -239,11 +239,11 @@
     assert len(others | {ours}) == 6
 
 
-@pytest.mark.parametrize("told", [False, True])
-def test_reports_wait_until_every_control_daemon_that_is_heard_knows_them(told):
-    async def story(leader, guards):
-        guards[0].all_tell = lambda: told
+@pytest.mark.parametrize("is_supported", [False, True])
+def test_reports_wait_until_all_control_daemons_support_them(is_supported):
+    async def scenario(leader, guards):
+        guards[0].all_tell = lambda: is_supported
         await end_three(guards[:1])
-        assert (len(leader.table) == 1) is told
+        assert (len(leader.table) == 1) is is_supported
 
-    play(story)
+    run_scenario(scenario)
--- a/tests/quarantine/test_narrow_link.py
+++ b/tests/quarantine/test_narrow_link.py
@@ -1,7 +1,7 @@
-"""Suspects on links that a large configuration fills.
+"""Suspects on links that a large configuration saturates.
 
-A gateway hears of a request that ends its targets in time also while a configuration is on its way
-that takes the link seconds, beside other traffic.
+A gateway must receive new suspects in time while the transfer of a configuration occupies its link
+for seconds, beside other traffic.
 """
 
 import asyncio
@@ -12,8 +12,8 @@
 from traystall.quarantine.models import TRIAL_MIN_ENDS
 from traystall.rpc.gen.wire.ttypes import EndedRun, ReportRunsRequest
 
-# Within so many seconds of the link's own clock every gateway has to know: the least bound of
-# contact that the product's users set.
+# Time in seconds of the link's own clock within which every gateway has to know the suspects. It
+# is the smallest contact bound that users of the product set.
 CONTACT_SECONDS = 3.0
 DIGEST = b"0123456789abcdef"
 
@@ -34,10 +34,10 @@
 
 
 @pytest.mark.parametrize("suspects", [1, 64])
-def test_gateway_knows_in_time_while_a_large_configuration_is_on_its_way(tmp_path, suspects):
-    """64 is what ran on one engine, three times in a row."""
+def test_gateway_receives_suspects_in_time_during_a_large_transfer(tmp_path, suspects):
+    """64 requests ran on one engine in each of three consecutive ends."""
 
-    async def story(site):
+    async def scenario(site):
         transfer = await change_running_gateway(site, 2, LARGE)
         await transfer.until_part()
         gateway = site.gateways[-1]
@@ -53,4 +53,4 @@
         print(f"{suspects} suspects are known after {site.link.seconds - began:.2f} s")
         await transfer.finish()
 
-    play(tmp_path, story)
+    play(tmp_path, scenario)
--- a/tests/quarantine/test_state.py
+++ b/tests/quarantine/test_state.py
@@ -1,4 +1,4 @@
-"""The table of suspects: who is tried, refused, cleared, and what is told of it."""
+"""The table of suspects: trials, refusals, clearing, and the changes published to gateways."""
 
 import pytest
 from hypothesis import given, settings
@@ -16,19 +16,19 @@
     Verdict,
 )
 from traystall.quarantine.state import (
-    REFUSED_RETENTION_SECONDS,
-    MAX_SUSPECTS_PER_CUSTOMER,
     MAX_SUSPECTS,
+    MAX_SUSPECTS_PER_CUSTOMER,
     REFUSAL_SECONDS,
+    REFUSED_RETENTION_SECONDS,
     SUSPECT_RETENTION_SECONDS,
     SuspectTable,
 )
 
-ENDS = b"ends its targets"
-OTHER = b"ran beside it"
+POISON = b"ends its targets"
+BYSTANDER = b"ran beside it"
 
 
-def end(life, digest=ENDS, trial="", customer="ana", pool="engine"):
+def end(life, digest=POISON, trial="", customer="ana", pool="engine"):
     return EndedRun(digest, customer, "route", pool, life, "nothing listens", trial)
 
 
@@ -36,11 +36,11 @@
     return table.report(ReportRuns(ended, tuple(served), tuple(released), time))
 
 
-def ask(table, trial="t-1", digest=ENDS, time=0.0):
+def ask(table, trial="t-1", digest=POISON, time=0.0):
     return table.begin_trial(BeginTrial(digest, trial, time))
 
 
-def suspected(ends=TRIAL_MIN_ENDS, digest=ENDS):
+def suspected(ends=TRIAL_MIN_ENDS, digest=POISON):
     table = SuspectTable()
     for number in range(ends):
         report(table, end(f"life-{number}", digest))
@@ -60,13 +60,13 @@
     assert ask(suspected()).verdict is Verdict.TRIAL
 
 
-def test_trial_that_ends_its_target_proves_it():
+def test_trial_that_ends_its_target_refuses_the_request():
     table = refused()
     answer = ask(table, "t-2")
     assert (answer.verdict, answer.seconds) == (Verdict.REFUSED, REFUSAL_SECONDS)
 
 
-def test_trials_that_say_nothing_are_counted_too():
+def test_trials_without_outcome_are_counted():
     table = suspected()
     for number in range(MOST_TRIALS):
         time = number * (TRIAL_SECONDS + 1)
@@ -74,72 +74,72 @@
     assert ask(table, "late", time=TRIAL_SECONDS * (MOST_TRIALS + 2)).verdict is Verdict.REFUSED
 
 
-def test_one_trial_of_a_pool_at_a_time_so_that_its_end_tells_who_did_it():
+def test_pool_has_one_trial_at_a_time():
     table = suspected()
     for number in range(TRIAL_MIN_ENDS):
-        report(table, end(f"other-{number}", OTHER))
-    assert ask(table, "t-1", ENDS).verdict is Verdict.TRIAL
-    assert ask(table, "t-2", OTHER).verdict is Verdict.WAIT
-    assert ask(table, "t-3", ENDS).verdict is Verdict.WAIT
+        report(table, end(f"other-{number}", BYSTANDER))
+    assert ask(table, "t-1", POISON).verdict is Verdict.TRIAL
+    assert ask(table, "t-2", BYSTANDER).verdict is Verdict.WAIT
+    assert ask(table, "t-3", POISON).verdict is Verdict.WAIT
     report(table, released=["t-1"])
-    assert ask(table, "t-2", OTHER).verdict is Verdict.TRIAL
+    assert ask(table, "t-2", BYSTANDER).verdict is Verdict.TRIAL
 
 
-def test_trial_of_a_gateway_that_is_lost_holds_the_others_up_for_a_while_only():
+def test_trial_of_a_lost_gateway_expires():
     table = suspected()
     for number in range(TRIAL_MIN_ENDS):
-        report(table, end(f"other-{number}", OTHER))
-    ask(table, "t-1", ENDS)
-    assert ask(table, "t-2", OTHER, TRIAL_SECONDS - 0.1).verdict is Verdict.WAIT
-    assert ask(table, "t-2", OTHER, TRIAL_SECONDS + 0.1).verdict is Verdict.TRIAL
+        report(table, end(f"other-{number}", BYSTANDER))
+    ask(table, "t-1", POISON)
+    assert ask(table, "t-2", BYSTANDER, TRIAL_SECONDS - 0.1).verdict is Verdict.WAIT
+    assert ask(table, "t-2", BYSTANDER, TRIAL_SECONDS + 0.1).verdict is Verdict.TRIAL
 
 
-def test_whole_answer_clears_a_request():
+def test_complete_response_clears_a_request():
     table = suspected()
-    news = report(table, served=[ENDS])
+    news = report(table, served=[POISON])
     assert [one.event for one in news] == [Event.CLEARED]
     assert ask(table).verdict is Verdict.FREE
     assert len(table) == 0
 
 
-def test_requests_beside_the_one_that_is_refused_are_cleared():
-    """They ran on the same three targets; only the trial tells them apart."""
+def test_requests_that_ran_beside_a_refused_one_are_cleared():
+    """Both requests ran on the same three targets; only the trial distinguishes them."""
     table = SuspectTable()
     for number in range(TRIAL_MIN_ENDS):
-        report(table, end(f"life-{number}"), end(f"life-{number}", OTHER))
+        report(table, end(f"life-{number}"), end(f"life-{number}", BYSTANDER))
     report(table, end("another-life", b"elsewhere"))
     ask(table)
     news = report(table, end("life-of-trial", trial="t-1"))
     assert {(one.event, one.digest) for one in news} >= {
-        (Event.REFUSED, ENDS),
-        (Event.CLEARED, OTHER),
+        (Event.REFUSED, POISON),
+        (Event.CLEARED, BYSTANDER),
     }
-    assert table.get(OTHER) is None
+    assert table.get(BYSTANDER) is None
     assert table.get(b"elsewhere").ends == 1
 
 
-def test_end_under_an_old_trial_or_of_another_run_refuses_nothing():
+def test_end_under_an_old_trial_or_without_one_refuses_nothing():
     table = suspected()
     ask(table, "t-1")
     report(table, end("a-life"), end("another", trial="t-0"))
     assert ask(table, "t-2").verdict is Verdict.WAIT
 
 
-def test_report_that_comes_again_changes_nothing():
+def test_repeated_report_changes_nothing():
     table = suspected()
     before = table.snapshot()
     report(table, end("life-0"), end("life-2"), served=[b"unknown"], released=["none"])
     assert table.snapshot() == before
 
 
-def test_same_end_seen_by_several_gateways_counts_once():
+def test_end_reported_by_several_gateways_counts_once():
     table = SuspectTable()
     for _ in range(5):
         report(table, end("life"))
-    assert table.get(ENDS).ends == 1
+    assert table.get(POISON).ends == 1
 
 
-def test_refusal_lapses_into_one_trial():
+def test_expired_refusal_allows_one_trial():
     table = refused()
     later = REFUSAL_SECONDS + 1
     assert ask(table, "t-2", time=later).verdict is Verdict.TRIAL
@@ -147,10 +147,10 @@
     assert ask(table, "t-3", time=later + 2).verdict is Verdict.REFUSED
 
 
-def test_what_was_refused_and_is_served_once_it_lapsed_is_cleared():
+def test_served_request_is_cleared_after_its_refusal_expired():
     table = refused()
     ask(table, "t-2", time=REFUSAL_SECONDS + 1)
-    report(table, served=[ENDS], time=REFUSAL_SECONDS + 2)
+    report(table, served=[POISON], time=REFUSAL_SECONDS + 2)
     assert ask(table, time=REFUSAL_SECONDS + 3).verdict is Verdict.FREE
 
 
@@ -158,28 +158,28 @@
     ("table", "seconds"),
     [(suspected(), SUSPECT_RETENTION_SECONDS), (refused(), REFUSED_RETENTION_SECONDS)],
 )
-def test_everything_is_forgotten_some_day(table, seconds):
+def test_suspects_expire(table, seconds):
     report(table, time=seconds - 1)
     assert len(table) == 1
     report(table, time=seconds + 60)
     assert len(table) == 0
 
 
-def test_operator_lifts_it():
+def test_operator_lifts_a_suspect():
     table = refused()
-    news = table.lift(LiftSuspect(ENDS, "eva", 1.0))
+    news = table.lift(LiftSuspect(POISON, "eva", 1.0))
     assert [(one.event, one.why) for one in news] == [(Event.CLEARED, "lifted by eva")]
     assert ask(table).verdict is Verdict.FREE
-    assert table.lift(LiftSuspect(ENDS, "eva", 1.0)) == []
+    assert table.lift(LiftSuspect(POISON, "eva", 1.0)) == []
 
 
-def test_clock_that_steps_back_undoes_nothing():
+def test_clock_that_steps_back_is_ignored():
     table = refused()
     report(table, time=100.0)
     assert ask(table, "t-2", time=-500.0).seconds == REFUSAL_SECONDS - 100.0
 
 
-def test_one_customer_cannot_push_out_what_is_held_of_another():
+def test_customer_cannot_evict_suspects_of_another():
     table = refused()
     for number in range(MAX_SUSPECTS_PER_CUSTOMER * 3):
         report(table, end(f"life-{number}", b"%d" % number, customer="bert"))
@@ -187,7 +187,7 @@
     assert len(table) == MAX_SUSPECTS_PER_CUSTOMER + 1
 
 
-def test_table_is_bounded_and_keeps_what_is_refused():
+def test_table_is_bounded_and_keeps_refused_suspects():
     table = refused()
     for number in range(MAX_SUSPECTS + 500):
         customer = f"customer-{number % 40}"
@@ -197,7 +197,7 @@
     assert len(table.snapshot()) < 2_500_000
 
 
-def test_snapshot_holds_everything():
+def test_snapshot_restores_the_table():
     table = refused()
     copy = SuspectTable()
     copy.restore(table.snapshot())
@@ -226,20 +226,20 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.lists(STEPS, max_size=60))
-def test_watchers_that_apply_changes_hold_what_is_told(steps):
-    """Whatever each of them missed, in any order, also past a snapshot."""
+def test_subscribers_that_apply_changes_hold_the_published_suspects(steps):
+    """This holds for any missed changes, in any order, and after a restored snapshot."""
     table = SuspectTable()
-    watchers = [(0, {}) for _ in range(3)]
+    subscribers = [(0, {}) for _ in range(3)]
     time = 0.0
 
     def watch(number):
-        version, held = watchers[number]
+        version, held = subscribers[number]
         changes = table.since(version)
         if changes.full:
             held = {}
         held = held | {row.digest: row.ends for row in changes.suspects}
         held = {digest: ends for digest, ends in held.items() if digest not in changes.removed}
-        watchers[number] = (changes.version, held)
+        subscribers[number] = (changes.version, held)
 
     for step, *rest in steps:
         if step == "end":
@@ -260,5 +260,5 @@
             table = copy
     for number in range(3):
         watch(number)
-        assert watchers[number][1] == {row.digest: row.ends for row in table.listed()}
-        assert watchers[number][0] == table.version
+        assert subscribers[number][1] == {row.digest: row.ends for row in table.listed()}
+        assert subscribers[number][0] == table.version
