--- a/tests/registry/test_memory.py
+++ b/tests/registry/test_memory.py
@@ -6,7 +6,7 @@
 
 from traystall.core import clock
 from traystall.core.exceptions import DiskFailed
-from traystall.registry.memory import REMEMBERED_AGE, RegistryMemory
+from traystall.registry.memory import RESTORED_AGE_SECONDS, RegistryMemory
 from traystall.registry.models import RegisteredState, TargetReport
 from traystall.registry.service import RegistryService
 from traystall.registry.store import TargetStore
@@ -42,7 +42,7 @@
     rows = asyncio.run(scenario())
     assert [row.identity for row in rows] == ["t-1"], "what leaves is not remembered"
     assert rows[0].is_ready
-    assert clock.monotonic() - rows[0].seen_at >= REMEMBERED_AGE
+    assert clock.monotonic() - rows[0].seen_at >= RESTORED_AGE_SECONDS
 
 
 def test_target_that_has_fallen_silent_is_not_remembered(tmp_path):
--- a/tests/registry/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from traystall.registry.models import STATE_RANK, RegisteredState, TargetReport
-from traystall.registry.table import GONE_SECONDS, SILENT_SECONDS, Registry
+from traystall.registry.table import GONE_RETENTION_SECONDS, SILENT_RETENTION_SECONDS, Registry
 
 
 def report(state="ready", sequence=1, identity="t-1", address="10.0.0.1:80"):
@@ -62,9 +62,9 @@
     registry.merge(report(), 0.0)
     registry.merge(report("ready", 1, "t-2"), 0.0)
     registry.leave("t-2", 0.0)
-    registry.forget_old(SILENT_SECONDS + 1)
+    registry.remove_expired(SILENT_RETENTION_SECONDS + 1)
     assert [row.identity for row in registry.rows()] == ["t-2"]
-    registry.forget_old(GONE_SECONDS + 1)
+    registry.remove_expired(GONE_RETENTION_SECONDS + 1)
     assert registry.rows() == []
 
 
--- a/tests/registry/test_watch.py
+++ b/tests/registry/test_watch.py
@@ -205,7 +205,7 @@
 def test_one_registry_of_an_earlier_release_is_enough_to_report_nothing():
     """It would end the link of whoever sends what it does not know."""
     follower = RegistryFollower(None, "g", lambda: [])
-    follower._tells_suspects = {"a": True, "b": True}
+    follower._supports_suspects = {"a": True, "b": True}
     assert follower.all_tell_suspects
-    follower._tells_suspects["c"] = False
+    follower._supports_suspects["c"] = False
     assert not follower.all_tell_suspects
--- a/traystall/registry/__init__.py
+++ b/traystall/registry/__init__.py
@@ -1,1 +1,1 @@
-"""Targets that register themselves: reports merged into one table, watched by gateways."""
+"""The registry of targets: reports of targets, merged in one table that gateways watch."""
--- a/traystall/registry/follower.py
+++ b/traystall/registry/follower.py
@@ -1,9 +1,9 @@
-"""Watch the registries of all control daemons and merge what they tell.
+"""Watches the registries of all control daemons and merges their updates.
 
-A target reports to any control daemon it reaches. Watching every one of them
-means that what one of them acknowledges is known here one link later, without
-waiting for the daemons to agree; a daemon that is lost or cut off takes nothing
-away, because the merge never steps back.
+A target reports to any control daemon that it reaches. With a watch to each daemon, a report
+arrives here directly after the daemon that acknowledged it, without waiting for the daemons to
+replicate it. A daemon that is lost or partitioned removes nothing, since the merge never goes back
+to an earlier state.
 """
 
 import asyncio
@@ -17,23 +17,25 @@
 from traystall.rpc.client import LinkPool
 from traystall.rpc.gen.wire.ttypes import RegistryReply, RegistryRequest
 
-_WATCH_TIMEOUT = 2.0
+_WATCH_TIMEOUT_SECONDS = 2.0
 _RETRY_SECONDS = 0.25
-_REVIEW_SECONDS = 0.5
+_UPDATE_INTERVAL_SECONDS = 0.5
 
 logger = logging.getLogger(__name__)
 
 
 class RegistryFollower:
-    """Keep one watch open to each known control daemon.
-
-    `addresses` returns whom to watch now; `merge(report, seen_at)` and
-    `saw(identity, seen_at)` take in what is told; `on_members(members)` gets the
-    control daemons that a registry knows of. `number` returns the revision held
-    here, `on_number(number, address)` gets a higher one and who has it;
-    `evacuation_version` returns the version of the evacuations held here,
-    `on_evacuated(told)` gets what each registry tells of them. `suspects` takes in what they tell
-    of requests under which targets ended; without it they are not asked.
+    """Keeps one watch open to each known control daemon.
+
+    `addresses` returns the addresses to watch. Updates go to these callbacks and objects:
+
+    - `merge(report, seen_at)` and `saw(identity, seen_at)` receive reports and ages of targets.
+    - `on_members(members)` receives the control daemons that a registry knows of.
+    - `number` returns the configuration revision in force here; `on_number(number, address)`
+      receives a higher one and the address of a daemon that has it.
+    - `evacuation_version` returns the version of the evacuations in force here;
+      `on_evacuated(evacuated)` receives the evacuations of each registry.
+    - `suspects` receives the requests under which targets ended. Without it they are not requested.
     """
 
     def __init__(self, links: LinkPool, sender: str, addresses: Callable[[], list[str]]):
@@ -43,91 +45,94 @@
         self.number: Callable[[], int] = lambda: 0
         self.on_number: Callable = lambda number, address: None
         self.evacuation_version: Callable[[], int] = lambda: 0
-        self.on_evacuated: Callable = lambda told: None
+        self.on_evacuated: Callable = lambda evacuated: None
         self.suspects: HeldSuspects | None = None
-        self.heard_at: dict[str, float] = {}
-        # Whether each registry, when it last answered, told of suspects.
-        self._tells_suspects: dict[str, bool] = {}
-        self._told_numbers: dict[str, int] = {}
+        self._last_replies: dict[str, float] = {}
+        # Whether the last reply of each registry contained suspects.
+        self._supports_suspects: dict[str, bool] = {}
+        self._revisions: dict[str, int] = {}
         self._links = links
         self._sender = sender
         self._addresses = addresses
         self._watches: dict[str, asyncio.Task] = {}
 
     async def follow_forever(self) -> None:
-        """Open a watch to each control daemon that becomes known, end those no longer named."""
+        """Watch each control daemon as it becomes known, and stop the watches of removed ones."""
         try:
             while True:
-                self._review()
-                await asyncio.sleep(_REVIEW_SECONDS)
+                self._update_watches()
+                await asyncio.sleep(_UPDATE_INTERVAL_SECONDS)
         finally:
             for task in self._watches.values():
                 task.cancel()
 
     def last_heard(self) -> float:
-        """Return when any registry last answered, in monotonic seconds."""
-        return max(self.heard_at.values(), default=float("-inf"))
+        """Return the time of the last reply from any registry, in monotonic seconds."""
+        return max(self._last_replies.values(), default=float("-inf"))
 
     @property
     def newest_number(self) -> int:
-        """Return the highest revision that a registry told of when it last answered."""
-        return max(self._told_numbers.values(), default=0)
+        """Return the highest revision in the last replies of all registries."""
+        return max(self._revisions.values(), default=0)
 
     @property
     def all_tell_suspects(self) -> bool:
-        """Return whether every registry that is heard knows of suspects."""
-        return all(self._tells_suspects.values())
+        """Return whether all registries that have replied support suspects."""
+        return all(self._supports_suspects.values())
 
-    def _review(self):
+    def _update_watches(self):
         wanted = set(self._addresses())
         for address in [known for known, task in self._watches.items() if task.done()]:
-            # Not opened again, what that daemon's targets say would be missing here for good.
+            # Removed here and started again below; without it, all reports of targets to that
+            # daemon would be missing here permanently.
             error = self._watches.pop(address).exception()
             logger.error("registry watch failed", extra={"peer": address}, exc_info=error)
         for address in wanted - self._watches.keys():
             self._watches[address] = asyncio.create_task(self._watch_forever(address))
         for address in self._watches.keys() - wanted:
             self._watches.pop(address).cancel()
-            self._told_numbers.pop(address, None)
-            self._tells_suspects.pop(address, None)
+            self._revisions.pop(address, None)
+            self._supports_suspects.pop(address, None)
 
     async def _watch_forever(self, address):
         request = RegistryRequest(sender=self._sender, epoch="", version=0)
-        told = 0
-        ages_at = None
+        known_revision = 0
+        last_ages_at = None
         while True:
-            request.ages_told = None if ages_at is None else clock.monotonic() - ages_at
-            # A revision that was told is told again when the watch ends, not at once: while one
-            # was on its way, each registry's list of ages came ten times a second.
-            request.number = max(self.number(), told)
+            request.ages_told = None if last_ages_at is None else clock.monotonic() - last_ages_at
+            # A known revision that is not in force yet must not end the next watch at once. When it
+            # did, each registry sent its list of ages ten times a second during a transfer.
+            request.number = max(self.number(), known_revision)
             request.evacuation_version = self.evacuation_version()
             if self.suspects is not None:
                 request.suspects_version = self.suspects.version
             try:
-                reply = await self._links.link(address).call(request, _WATCH_TIMEOUT)
+                reply = await self._links.link(address).call(request, _WATCH_TIMEOUT_SECONDS)
             except RpcError as error:
-                logger.debug("registry not heard", extra={"peer": address, "why": str(error)})
+                logger.debug(
+                    "registry not reachable; retrying", extra={"peer": address, "why": str(error)}
+                )
                 await asyncio.sleep(_RETRY_SECONDS)
                 continue
-            self.heard_at[address] = clock.monotonic()
-            self._tells_suspects[address] = reply.suspects is not None
-            self._take(reply)
+            self._last_replies[address] = clock.monotonic()
+            self._supports_suspects[address] = reply.suspects is not None
+            self._apply(reply)
             if reply.ages is not None:
-                ages_at = self.heard_at[address]
-            told = reply.number or 0
-            self._told_numbers[address] = told
-            if told > self.number():
-                self.on_number(told, address)
+                last_ages_at = self._last_replies[address]
+            known_revision = reply.number or 0
+            self._revisions[address] = known_revision
+            if known_revision > self.number():
+                self.on_number(known_revision, address)
             request.epoch = reply.epoch
             request.version = reply.version
 
-    def _take(self, reply: RegistryReply):
+    def _apply(self, reply: RegistryReply):
         now = clock.monotonic()
         for record in reply.targets or ():
             try:
                 report = to_report(record)
             except ValueError as error:
-                # A state that this release doesn't know, of one target.
+                # The target has a state that this release doesn't know.
                 extra = {"target": record.identity, "why": str(error)}
                 logger.warning("target not understood", extra=extra)
                 continue
--- a/traystall/registry/models.py
+++ b/traystall/registry/models.py
@@ -1,4 +1,4 @@
-"""Rows and reports of targets that register themselves. Times are monotonic seconds."""
+"""Reports and rows of targets that register themselves. Times are monotonic seconds."""
 
 from enum import StrEnum
 
@@ -6,25 +6,25 @@
 
 
 class RegisteredState(StrEnum):
-    """Name what a registered target says of itself; later ones win for good."""
+    """The state that a target reports of itself; an incarnation never returns to an earlier one."""
 
     READY = "ready"
     DRAINING = "draining"
     GONE = "gone"
 
 
-# A start beyond this is none: Unix milliseconds have to fit into 64 bits with a sign.
+# Largest valid start of a target, since its Unix milliseconds have to fit into a signed 64-bit int.
 MOST_STARTED = 2**63 - 1
 
 STATE_RANK = {state: rank for rank, state in enumerate(RegisteredState)}
 
 
 class TargetReport(msgspec.Struct, frozen=True):
-    """Hold one report of a target about itself.
+    """A report of a target about itself.
 
-    `identity` names the target, and together with `started`, the Unix millisecond of its start (0:
-    not known), one life of it. `sequence` grows with every report of one life; `warming` is how
-    long it stays cold, in seconds.
+    `identity` names the target. `started` is the Unix time of its start in milliseconds, 0 if
+    unknown; both together identify an incarnation. `sequence` grows with every report of an
+    incarnation. `warming` is the remaining time of its cold phase in seconds.
     """
 
     identity: str
@@ -40,15 +40,15 @@
 
     @property
     def life(self) -> str:
-        """Return the name of this life."""
+        """Return the name of this incarnation."""
         return f"{self.identity}@{self.started}" if self.started else self.identity
 
 
 class RegisteredTarget(msgspec.Struct):
-    """Hold what is known of one life of a target.
+    """The row of one incarnation of a target.
 
-    `seen_at` is when it last reported, by way of any control daemon; `changed`
-    is the version of the table that last changed this row. It is cold until `cold_until`.
+    `seen_at` is the time of its last report to any control daemon, `changed` the version of the
+    table at the last change of this row, and `cold_until` the end of its cold phase.
     """
 
     report: TargetReport
@@ -58,10 +58,10 @@
 
     @property
     def identity(self) -> str:
-        """Return the name of this life of the target."""
+        """Return the identity of the target."""
         return self.report.identity
 
     @property
     def is_ready(self) -> bool:
-        """Return whether new work may go to it."""
+        """Return whether the target accepts new work."""
         return self.report.state is RegisteredState.READY
--- a/traystall/registry/records.py
+++ b/traystall/registry/records.py
@@ -1,11 +1,11 @@
-"""Turn rows of the registry into wire records and back."""
+"""Conversion between rows of the registry and RPC records."""
 
 from traystall.registry.models import RegisteredState, RegisteredTarget, TargetReport
 from traystall.rpc.gen.wire.ttypes import TargetRecord
 
 
 def to_record(row: RegisteredTarget, now: float) -> TargetRecord:
-    """Return a row as a record that carries the age of the target's last report."""
+    """Return the record of a row, with the age of the target's last report."""
     report = row.report
     return TargetRecord(
         identity=report.identity,
@@ -23,7 +23,7 @@
 
 
 def to_report(record: TargetRecord) -> TargetReport:
-    """Return a record as a report."""
+    """Return the report in a record."""
     return TargetReport(
         identity=record.identity,
         pool=record.pool or "",
--- a/traystall/registry/service.py
+++ b/traystall/registry/service.py
@@ -1,4 +1,8 @@
-"""Serve a registry to whoever watches it: gateways and the other control daemons."""
+"""Serves the registry to its subscribers: gateways and the other control daemons.
+
+A subscriber keeps one watch open. A watch is a long poll, which is answered as soon as the
+subscriber lacks an update.
+"""
 
 import asyncio
 import contextlib
@@ -14,26 +18,27 @@
 from traystall.registry.table import Registry
 from traystall.rpc.gen.wire.ttypes import Member, RegistryReply, RegistryRequest
 
-# How long a watch is held open when nothing is new, in seconds.
+# How long a watch is held open without an update.
 WATCH_HOLD = 1.0
-# Ages are told to a watcher once in so many seconds, as often as when nothing is new. They say only
-# who is silent, which is judged by seconds; told with each reply, a restart of one of 160 targets
-# cost every gateway three times 7 KB from each control daemon.
-AGES_SECONDS = WATCH_HOLD
-_FORGET_EVERY = 30.0
-# Told in one reply, so many targets take 32 KB: 0.05 s at 5 Mbit/s. A watcher asks for the rest at
-# once. Told all in one, more than fit through its link in time were never known to it.
-MOST_TARGETS = 200
+# Interval in which a subscriber receives the ages of all targets, the same as without updates. Ages
+# only show which targets are silent, with a resolution of seconds. When every reply had them, the
+# restart of one of 160 targets cost each gateway three times 7 KB from each control daemon.
+AGES_INTERVAL_SECONDS = WATCH_HOLD
+_EXPIRY_INTERVAL_SECONDS = 30.0
+# This number of targets takes 32 KB, 0.05 s at 5 Mbit/s; the subscriber requests the others at
+# once. When one reply held all targets and a link was too slow for it, the subscriber timed out
+# each time and never received any target.
+MAX_TARGETS_PER_REPLY = 200
 
 
 class RegistryService:
-    """Take reports of targets and answer watches of them.
+    """Accepts reports of targets and answers watches.
 
-    `members` returns the control daemons as wire records, so that a watcher
-    learns whom it can ask besides; `number` returns the newest revision of the
-    configuration, so that it learns of a new one from whichever daemon has it;
-    `evacuated` returns the evacuated data centres, which each reply tells whole;
-    `suspects` is the table of requests under which targets ended, of which changes are told.
+    `members` returns the control daemons as RPC records, so that a subscriber can watch all of
+    them. `number` returns the newest revision of the configuration, so that a subscriber learns of
+    a new one from any daemon that has it. `evacuated` returns the evacuated data centres, which
+    each reply contains in full. `suspects` is the table of requests under which targets ended;
+    replies contain its changes.
     """
 
     def __init__(self, members, number=lambda: 0, evacuated=EvacuatedPlaces, suspects=None):
@@ -43,26 +48,26 @@
         self._number = number
         self._evacuated = evacuated
         self._suspects = SuspectTable() if suspects is None else suspects
-        self._told = self._news()
+        self._published_versions = self._current_versions()
         self._changed = asyncio.Event()
-        self._forget_due = clock.monotonic() + _FORGET_EVERY
+        self._next_expiry_at = clock.monotonic() + _EXPIRY_INTERVAL_SECONDS
 
     def report(self, report: TargetReport, age: float = 0.0) -> None:
-        """Take in one report and wake the watchers if it is news."""
+        """Merge a report that is `age` seconds old, and notify subscribers of a change."""
         if self.registry.merge(report, clock.monotonic() - age):
             self.wake()
 
     def leave(self, identity: str) -> None:
-        """Take in that a target is gone."""
+        """Record that a target is gone, and notify subscribers of the change."""
         if self.registry.leave(identity, clock.monotonic()):
             self.wake()
 
     async def watch(self, request: RegistryRequest) -> RegistryReply:
-        """Return what is new since the watcher's version, waiting a while if nothing is."""
+        """Return the updates since the subscriber's version; wait for some if there are none."""
         known = request.version if request.epoch == self.epoch else 0
         began = clock.monotonic()
         ages_due = self._ages_due(request, began)
-        # Who doesn't say when it was told gets ages with each reply, and is held in full.
+        # Without the time of the last ages, each reply has them and the hold time is not shortened.
         deadline = began + WATCH_HOLD if request.ages_told is None else ages_due
         while known >= self.registry.version and self._is_up_to_date(request):
             left = deadline - clock.monotonic()
@@ -77,50 +82,52 @@
         return reply
 
     def on_applied(self) -> None:
-        """Wake the watchers if there is a new revision, evacuation or suspect."""
-        held = self._news()
-        if held != self._told:
-            self._told = held
+        """Notify subscribers if there is a new revision, evacuation or suspect."""
+        versions = self._current_versions()
+        if versions != self._published_versions:
+            self._published_versions = versions
             self.wake()
 
     def wake(self) -> None:
-        """Wake every watch that waits; later ones wait on a new event."""
+        """Wake all waiting watches; later ones wait on a new event."""
         changed, self._changed = self._changed, asyncio.Event()
         changed.set()
 
-    def _news(self) -> tuple[int, int, int]:
+    def _current_versions(self) -> tuple[int, int, int]:
         return self._number(), self._evacuated().version, self._suspects.version
 
     def _is_up_to_date(self, request):
         if (request.number or 0) < self._number():
             return False
-        wants_suspects = request.suspects_version is not None
-        if wants_suspects and request.suspects_version < self._suspects.version:
+        supports_suspects = request.suspects_version is not None
+        if supports_suspects and request.suspects_version < self._suspects.version:
             return False
         return (request.evacuation_version or 0) >= self._evacuated().version
 
     def _reply(self, known):
         now = clock.monotonic()
-        if now >= self._forget_due:
-            self._forget_due = now + _FORGET_EVERY
-            self.registry.forget_old(now)
+        if now >= self._next_expiry_at:
+            self._next_expiry_at = now + _EXPIRY_INTERVAL_SECONDS
+            self.registry.remove_expired(now)
         members: list[Member] = self._members()
         rows = self.registry.since(known)
-        told = rows[:MOST_TARGETS]
+        page = rows[:MAX_TARGETS_PER_REPLY]
         return RegistryReply(
             epoch=self.epoch,
-            version=told[-1].changed if len(told) < len(rows) else self.registry.version,
-            targets=[to_record(row, now) for row in told],
+            version=page[-1].changed if len(page) < len(rows) else self.registry.version,
+            targets=[to_record(row, now) for row in page],
             members=members,
             number=self._number(),
             evacuated=to_wire(self._evacuated()),
         )
 
     def _ages_due(self, request, began):
-        """Return when a watch that began at `began` should bring ages; at once if not known."""
+        """Return when a watch that began at `began` has to return ages, `began` if they are due."""
         if request.ages_told is None or request.epoch != self.epoch:
             return began
-        return began + AGES_SECONDS - min(max(request.ages_told, 0.0), AGES_SECONDS)
+        return (
+            began + AGES_INTERVAL_SECONDS - min(max(request.ages_told, 0.0), AGES_INTERVAL_SECONDS)
+        )
 
     def _ages(self):
         now = clock.monotonic()
--- a/traystall/registry/store.py
+++ b/traystall/registry/store.py
@@ -1,9 +1,8 @@
-"""Remember the targets on disk, so that a group that lost its power knows them at once.
+"""Storage of the targets on disk, so that a control group knows them at once after a power loss.
 
-What is remembered is a hint. A daemon that starts tells of remembered targets
-as of ones that were last heard of some time ago: they are used for the moment,
-and left out soon unless they report again. A file that is lost, torn or old does
-no harm, so nothing waits for it to be written.
+The stored targets are a hint. A starting daemon publishes them as targets whose last report is some
+time ago: they are used at first, and dropped soon unless they report again. A lost, truncated or
+outdated file does no harm, so nothing waits for it to be written.
 """
 
 import os
@@ -17,30 +16,30 @@
 from traystall.registry.models import TargetReport
 
 _FILE = "targets"
-_SUM_BYTES = 8
+_CHECKSUM_BYTES = 8
 
 
 class TargetStore:
-    """Own one file in a data folder. Everything here blocks."""
+    """The file of stored targets in a data folder. All methods block."""
 
     def __init__(self, folder: str):
         self._path = Path(folder) / _FILE
 
     def load(self) -> list[TargetReport]:
-        """Return the remembered targets; none if the file is missing or not whole."""
+        """Return the stored targets, or none if the file is missing or corrupt."""
         try:
             data = self._path.read_bytes()
         except OSError:
             return []
-        if xxhash.xxh64_digest(data[_SUM_BYTES:]) != data[:_SUM_BYTES]:
+        if xxhash.xxh64_digest(data[_CHECKSUM_BYTES:]) != data[:_CHECKSUM_BYTES]:
             return []
         try:
-            return unpack(data[_SUM_BYTES:], list[TargetReport])
+            return unpack(data[_CHECKSUM_BYTES:], list[TargetReport])
         except msgspec.DecodeError:
             return []
 
     def save(self, reports: list[TargetReport]) -> None:
-        """Replace what is remembered; raise DiskFailed if the disk refuses."""
+        """Replace the stored targets; raise DiskFailed if they can't be written."""
         data = pack(reports)
         try:
             with open(self._path, "wb") as file:
