--- a/tests/registry/test_ages.py
+++ b/tests/registry/test_ages.py
@@ -1,4 +1,4 @@
-"""Ages of targets: told as often while targets change as while nothing is new, and no more."""
+"""Ages of targets are sent at the same interval with and without changes of targets."""
 
 import asyncio
 
@@ -10,26 +10,26 @@
 from traystall.registry.service import AGES_INTERVAL_SECONDS, WATCH_HOLD, RegistryService
 from traystall.rpc.gen.wire.ttypes import RegistryRequest
 
-# What a machine busy with other tests may add, in seconds.
-_SLACK = 0.15
+# Delay that other tests on the same machine may add.
+_SLACK_SECONDS = 0.15
 
 
-def test_restarts_of_targets_do_not_make_all_ages_be_told_again():
-    """Told with each reply, one restart each 0.4 s took seven times the bytes at rest."""
+def test_restarts_of_targets_do_not_resend_all_ages():
+    """With ages in each reply, one restart every 0.4 s took seven times the bytes at rest."""
     at_rest, restarting = asyncio.run(measure(targets=60, daemons=3, seconds=4.0))
     assert restarting["replies"] > 3 * at_rest["replies"]
     assert 0 < restarting["KB of ages"] < 1.5 * at_rest["KB of ages"]
-    # A target is taken for silent after 4 s without a sign of it.
+    # A target counts as silent after 4 s without a report.
     assert restarting["greatest age, s"] < 2.5
 
 
-def play(changes, **fields):
-    """Watch a registry of one target; return the reply and how long it took, in seconds.
+def watch_one_target(changes, **fields):
+    """Watch a registry of one target; return the reply and its delay in seconds.
 
-    If there are `changes`, another target comes a tenth of the hold after the watch began.
+    With `changes`, another target registers after a tenth of the hold time.
     """
 
-    async def scene():
+    async def scenario():
         service = RegistryService(lambda: [])
         service.report(TargetReport("t", "p", "x:1"))
         request = RegistryRequest(
@@ -44,23 +44,23 @@
             service.report(TargetReport("u", "p", "x:2"))
         return await watching, clock.monotonic() - began
 
-    return asyncio.run(scene())
+    return asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("told", [None, AGES_INTERVAL_SECONDS * 0.95])
-def test_change_brings_ages_to_who_does_not_know_them_or_is_due(told):
-    reply, seconds = play(True, ages_told=told)
-    assert "t" in reply.ages and seconds < WATCH_HOLD / 10 + _SLACK
+@pytest.mark.parametrize("ages_age", [None, AGES_INTERVAL_SECONDS * 0.95])
+def test_change_is_sent_with_ages_that_are_unknown_or_due(ages_age):
+    reply, seconds = watch_one_target(True, ages_told=ages_age)
+    assert "t" in reply.ages and seconds < WATCH_HOLD / 10 + _SLACK_SECONDS
 
 
-def test_change_is_told_at_once_without_ages_to_who_was_told_lately():
-    reply, seconds = play(True, ages_told=0.1)
-    assert reply.ages is None and seconds < WATCH_HOLD / 10 + _SLACK
+def test_change_is_sent_at_once_without_recent_ages():
+    reply, seconds = watch_one_target(True, ages_told=0.1)
+    assert reply.ages is None and seconds < WATCH_HOLD / 10 + _SLACK_SECONDS
     assert [record.identity for record in reply.targets] == ["u"]
 
 
 @pytest.mark.parametrize(
-    ("told", "expected"),
+    ("ages_age", "expected"),
     [
         (None, WATCH_HOLD),
         (0.0, AGES_INTERVAL_SECONDS),
@@ -69,12 +69,12 @@
         (-7.0, 1.0),
     ],
 )
-def test_watch_is_held_until_ages_are_due(told, expected):
-    reply, seconds = play(False, ages_told=told)
+def test_watch_is_held_until_ages_are_due(ages_age, expected):
+    reply, seconds = watch_one_target(False, ages_told=ages_age)
     assert set(reply.ages) == {"t"}
-    assert expected <= seconds + 0.001 and seconds < expected + _SLACK
+    assert expected <= seconds + 0.001 and seconds < expected + _SLACK_SECONDS
 
 
-def test_registry_of_another_life_tells_its_ages_at_once():
-    reply, seconds = play(False, epoch="of another life", ages_told=0.1)
-    assert set(reply.ages) == {"t"} and seconds < _SLACK
+def test_registry_of_another_incarnation_sends_its_ages_at_once():
+    reply, seconds = watch_one_target(False, epoch="of another incarnation", ages_told=0.1)
+    assert set(reply.ages) == {"t"} and seconds < _SLACK_SECONDS
--- a/tests/registry/test_many_targets.py
+++ b/tests/registry/test_many_targets.py
@@ -1,7 +1,7 @@
-"""A registry tells many targets in parts that its narrow links carry in time.
+"""A registry sends many targets in several replies, which fit through slow links in time.
 
-Guards against all targets in one reply: where that takes longer than a watch waits, a watcher that
-starts asked for all of them again for ever and knew none.
+Guards against one reply with all targets: if its transfer takes longer than the timeout of a watch,
+a starting subscriber requests all targets again forever and never receives any.
 """
 
 import asyncio
@@ -13,12 +13,12 @@
 from traystall.rpc.gen.wire.ttypes import RegistryReply, RegistryRequest
 from traystall.rpc.messages import encode
 
-# What a link of 5 Mbit/s carries in a tenth of the time that a watch waits for a reply.
-MOST_BYTES = 128 * 1024
+# A link of 5 Mbit/s carries this in a tenth of the timeout of a watch.
+MAX_REPLY_BYTES = 128 * 1024
 
 
-async def watch_until_known(service, between=lambda: None):
-    """Watch as a follower that starts does; return what is known of targets, and the replies."""
+async def watch_until_complete(service, change_registry=lambda: None):
+    """Watch as a starting follower does; return the received targets and the replies."""
     request = RegistryRequest(sender="w", epoch="", version=0, number=0, ages_told=0.0)
     known, replies = {}, []
     while request.version < service.registry.version:
@@ -26,11 +26,11 @@
         replies.append(reply)
         known.update((record.identity, record) for record in reply.targets)
         request.epoch, request.version = reply.epoch, reply.version
-        between()
+        change_registry()
     return known, replies
 
 
-def registry_of(targets):
+def make_registry(targets):
     service = RegistryService(lambda: [])
     for number in range(targets):
         report = TargetReport(f"target-{number:05}/{number:024}", "pool", f"10.0.0.1:{number}")
@@ -40,35 +40,35 @@
 
 @pytest.mark.parametrize("targets", [1, 199, 200, 201, 640, 10_000])
 def test_all_targets_become_known_in_replies_of_bounded_size(targets):
-    async def scene():
-        service = registry_of(targets)
-        known, replies = await watch_until_known(service)
+    async def scenario():
+        service = make_registry(targets)
+        known, replies = await watch_until_complete(service)
         assert len(known) == targets
-        # The first brings the ages of all as well, which a watcher asks for once a second.
+        # The first reply also has the ages of all targets, which are due once a second.
         sizes = [len(encode(reply)) for reply in replies]
-        assert max(sizes[1:], default=0) <= MOST_BYTES
-        assert sizes[0] - len(encode_ages(replies[0])) <= MOST_BYTES
+        assert max(sizes[1:], default=0) <= MAX_REPLY_BYTES
+        assert sizes[0] - len(encode_ages(replies[0])) <= MAX_REPLY_BYTES
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def encode_ages(reply):
     return encode(RegistryReply(epoch="", version=0, ages=reply.ages))
 
 
-def test_what_changes_while_the_rest_is_told_is_not_missed():
-    async def scene():
-        service = registry_of(600)
+def test_changes_between_replies_are_not_missed():
+    async def scenario():
+        service = make_registry(600)
         changes = iter(range(300))
 
-        def between():
+        def change_registry():
             number = next(changes, None)
             if number is not None and number % 2 == 0:
                 service.leave(f"target-{number:05}/{number:024}")
                 service.report(TargetReport(f"new-{number}", "pool", "10.0.0.2:1"))
 
-        known, _ = await watch_until_known(service, between)
+        known, _ = await watch_until_complete(service, change_registry)
         rows = {row.identity: row.report.state.value for row in service.registry.rows()}
         assert {identity: record.state for identity, record in known.items()} == rows
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/registry/test_memory.py
+++ b/tests/registry/test_memory.py
@@ -1,4 +1,4 @@
-"""Targets that are remembered on disk: a hint that helps, and never harms."""
+"""Targets saved on disk are a hint: they help after a restart, and corrupt files do no harm."""
 
 import asyncio
 
@@ -20,44 +20,44 @@
     return RegistryService(lambda: [])
 
 
-async def remember(registry, store):
-    """Let a memory write down what is there now, and end it."""
+async def save_once(registry, store):
+    """Save the registry's targets once."""
     task = asyncio.create_task(RegistryMemory(registry, store).remember_forever())
     while not store.load():
         await asyncio.sleep(0.01)
     task.cancel()
 
 
-def test_ready_targets_are_known_again_as_ones_heard_of_some_time_ago(tmp_path):
+def test_ready_targets_are_restored_with_an_old_report(tmp_path):
     async def scenario():
         before = service()
         before.report(report("t-1"))
         before.report(report("t-2", RegisteredState.DRAINING))
         before.leave("t-3")
-        await remember(before, TargetStore(tmp_path))
+        await save_once(before, TargetStore(tmp_path))
         after = service()
         await RegistryMemory(after, TargetStore(tmp_path)).restore()
         return after.registry.rows()
 
     rows = asyncio.run(scenario())
-    assert [row.identity for row in rows] == ["t-1"], "what leaves is not remembered"
+    assert [row.identity for row in rows] == ["t-1"], "leaving targets are not saved"
     assert rows[0].is_ready
     assert clock.monotonic() - rows[0].seen_at >= RESTORED_AGE_SECONDS
 
 
-def test_target_that_has_fallen_silent_is_not_remembered(tmp_path):
+def test_silent_target_is_not_saved(tmp_path):
     async def scenario():
         registry = service()
         registry.report(report("silent"), age=10.0)
         registry.report(report("heard"))
         store = TargetStore(tmp_path)
-        await remember(registry, store)
+        await save_once(registry, store)
         return store.load()
 
     assert [found.identity for found in asyncio.run(scenario())] == ["heard"]
 
 
-def test_what_a_target_says_itself_goes_before_what_is_remembered(tmp_path):
+def test_report_of_a_target_overrides_the_stored_one(tmp_path):
     TargetStore(tmp_path).save([report("t-1", sequence=0)])
 
     async def scenario():
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize("length", [0, 1, 7, 8, 9, 40])
-def test_torn_file_is_no_file(tmp_path, length):
+def test_truncated_file_is_ignored(tmp_path, length):
     store = TargetStore(tmp_path)
     store.save([report("t-1")])
     path = tmp_path / "targets"
@@ -78,7 +78,7 @@
     assert store.load() == []
 
 
-def test_every_flipped_byte_is_noticed(tmp_path):
+def test_corrupt_byte_is_detected_at_every_position(tmp_path):
     store = TargetStore(tmp_path)
     store.save([report("t-1")])
     path = tmp_path / "targets"
@@ -90,25 +90,25 @@
         assert store.load() == []
 
 
-def test_missing_file_is_no_error(tmp_path):
+def test_missing_file_holds_no_targets(tmp_path):
     assert TargetStore(tmp_path / "none").load() == []
 
 
-def test_disk_that_refuses_is_asked_again(tmp_path):
-    class Refusing(TargetStore):
-        refusals = 2
+def test_failed_save_is_retried(tmp_path):
+    class FailingStore(TargetStore):
+        failures_left = 2
 
         def save(self, reports):
-            if self.refusals:
-                self.refusals -= 1
+            if self.failures_left:
+                self.failures_left -= 1
                 raise DiskFailed("The disk is full.")
             super().save(reports)
 
     async def scenario():
         registry = service()
         registry.report(report("t-1"))
-        store = Refusing(tmp_path)
-        await remember(registry, store)
+        store = FailingStore(tmp_path)
+        await save_once(registry, store)
         return store.load()
 
     assert [found.identity for found in asyncio.run(scenario())] == ["t-1"]
--- a/tests/registry/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -1,4 +1,4 @@
-"""Reports of targets, in any order and any number of times, lead to one state."""
+"""The merge of target reports gives the same table in any order and with repeated reports."""
 
 import itertools
 
@@ -18,13 +18,13 @@
     report("ready", 1),
     report("ready", 2, address="10.0.0.1:81"),
     report("draining", 3),
-    None,  # It says that it is gone.
-    report("ready", 4),  # A late one: a target that left doesn't come back.
+    None,  # The target leaves.
+    report("ready", 4),  # A late report, which must not revive the target.
 ]
 
 
 @pytest.mark.parametrize("order", list(itertools.permutations(range(5))))
-def test_gone_targets_never_come_back(order):
+def test_gone_target_never_returns(order):
     registry = Registry()
     left = False
     for position in order:
@@ -46,7 +46,7 @@
     assert not registry.get("t-1").is_ready
 
 
-def test_only_news_raises_the_version():
+def test_only_changes_raise_the_version():
     registry = Registry()
     assert registry.merge(report("ready", 1), 1.0)
     version = registry.version
@@ -57,7 +57,7 @@
     assert [row.identity for row in registry.since(version)] == ["t-1"]
 
 
-def test_rows_are_forgotten_in_the_end():
+def test_rows_expire():
     registry = Registry()
     registry.merge(report(), 0.0)
     registry.merge(report("ready", 1, "t-2"), 0.0)
@@ -75,8 +75,8 @@
 
 
 @pytest.mark.parametrize("last", ["ready", "draining", "gone"])
-def test_target_that_starts_again_under_its_name_is_a_new_one(last):
-    """Whatever was said of the life before, and whatever of that still arrives."""
+def test_restarted_target_is_a_new_incarnation(last):
+    """Late reports of the earlier incarnation are ignored, whatever its state was."""
     registry = Registry()
     registry.merge(life(1000, last, sequence=50), 1.0)
     registry.merge(life(2000, sequence=1, address="10.0.0.1:81"), 2.0)
@@ -88,7 +88,7 @@
     assert registry.get("t-1").seen_at == 2.0
 
 
-def test_new_life_is_cold_as_it_says():
+def test_new_incarnation_is_cold_for_its_reported_time():
     registry = Registry()
     registry.merge(life(1000, sequence=50), 1.0)
     cold = TargetReport("t-1", "p", "10.0.0.1:80", sequence=1, started=2000, warming=5.0)
@@ -96,7 +96,7 @@
     assert registry.get("t-1").cold_until == 7.0
 
 
-def test_report_of_an_earlier_release_knows_no_start_and_takes_none_away():
+def test_report_without_start_keeps_the_known_start():
     registry = Registry()
     registry.merge(life(1000, sequence=5), 1.0)
     registry.merge(life(0, "draining", sequence=6), 2.0)
@@ -104,13 +104,13 @@
     assert not registry.get("t-1").is_ready
 
 
-LIVES = st.lists(
+INCARNATIONS = st.lists(
     st.tuples(st.integers(1, 3), st.sampled_from(list(RegisteredState))), min_size=1, max_size=8
 )
 
 
-@given(LIVES, st.randoms(use_true_random=False))
-def test_lives_merge_alike_in_any_order(lives, random):
+@given(INCARNATIONS, st.randoms(use_true_random=False))
+def test_incarnations_merge_to_the_same_row_in_any_order(lives, random):
     reports = [
         life(started, state, sequence, f"10.0.0.{sequence}:80")
         for sequence, (started, state) in enumerate(lives, 1)
--- a/tests/registry/test_watch.py
+++ b/tests/registry/test_watch.py
@@ -1,4 +1,4 @@
-"""Watches of a registry: told at once of targets and of a new revision, by any daemon."""
+"""Watches of a registry return new targets, revisions and suspects at once, from any daemon."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 from traystall.rpc.server import RpcServer
 
 
-class Numbered:
+class RevisionCounter:
     number = 3
 
     def __call__(self):
@@ -25,9 +25,9 @@
     return service.watch(RegistryRequest(sender="w", **fields))
 
 
-def test_new_revision_wakes_a_watch_that_waits():
-    async def play():
-        number = Numbered()
+def test_new_revision_wakes_a_waiting_watch():
+    async def scenario():
+        number = RevisionCounter()
         service = RegistryService(lambda: [], number)
         first = await watch_from(service, epoch="", version=0, number=3)
         waiting = asyncio.create_task(
@@ -39,26 +39,26 @@
         async with asyncio.timeout(WATCH_HOLD / 2):
             assert (await waiting).number == 4
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_watcher_of_another_life_gets_everything():
-    async def play():
+def test_watch_of_another_incarnation_returns_everything():
+    async def scenario():
         service = RegistryService(lambda: [])
         service.report(TargetReport("t", "p", "x:1"))
-        reply = await watch_from(service, epoch="of another life", version=99, number=0)
+        reply = await watch_from(service, epoch="of another incarnation", version=99, number=0)
         assert [record.identity for record in reply.targets] == ["t"]
         assert set(reply.ages) == {"t"}
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("silent", [0, 1])
-def test_follower_learns_from_any_daemon_while_another_is_silent(silent):
-    """One of two daemons accepts links and never answers, as one that was cut off does."""
+def test_follower_receives_updates_while_one_daemon_is_unresponsive(silent):
+    """One of two daemons accepts connections and never responds, like a partitioned one."""
 
-    async def play():
-        number = Numbered()
+    async def scenario():
+        number = RevisionCounter()
         service = RegistryService(lambda: [], number)
         service.report(TargetReport("t", "p", "x:1"))
 
@@ -79,10 +79,10 @@
             addresses.append(f"127.0.0.1:{port}")
         links = LinkPool(LinkIdentity("c", "gateway", "g"))
         follower = RegistryFollower(links, "g", lambda: addresses)
-        seen, told = [], []
+        seen, received_revisions = [], []
         follower.number = lambda: 3
         follower.merge = lambda report, seen_at: seen.append(report.state)
-        follower.on_number = lambda number, address: told.append((number, address))
+        follower.on_number = lambda number, address: received_revisions.append((number, address))
         task = asyncio.create_task(follower.follow_forever())
         async with asyncio.timeout(5):
             while not seen:
@@ -90,23 +90,23 @@
             service.leave("t")
             number.number = 4
             service.on_applied()
-            while RegisteredState.GONE not in seen or not told:
+            while RegisteredState.GONE not in seen or not received_revisions:
                 await asyncio.sleep(0.01)
         task.cancel()
         for server in servers:
             await server.stop()
         await links.close()
-        assert told[0] == (4, addresses[1 - silent])
+        assert received_revisions[0] == (4, addresses[1 - silent])
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_revision_that_is_on_its_way_is_not_told_ten_times_a_second():
-    """Each reply lists the age of every target: told at once, again and again, it fills links."""
+def test_revision_in_transfer_does_not_end_every_watch():
+    """Each reply lists the ages of all targets, so replies in quick succession saturate links."""
 
-    async def play():
+    async def scenario():
         service = RegistryService(lambda: [], lambda: 4)
-        replies, told = [], []
+        replies, received_revisions = [], []
 
         async def answer(request):
             reply = await service.watch(request)
@@ -119,20 +119,20 @@
         links = LinkPool(LinkIdentity("c", "gateway", "g"))
         follower = RegistryFollower(links, "g", lambda: [f"127.0.0.1:{port}"])
         follower.number = lambda: 3
-        follower.on_number = lambda number, address: told.append(number)
+        follower.on_number = lambda number, address: received_revisions.append(number)
         task = asyncio.create_task(follower.follow_forever())
         await asyncio.sleep(1.5 * WATCH_HOLD)
         task.cancel()
         await server.stop()
         await links.close()
-        assert told and len(replies) <= 2
+        assert received_revisions and len(replies) <= 2
         assert follower.newest_number == 4
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_number_that_nobody_tells_any_more_is_forgotten():
-    """A group that was restored from a backup counts from a lower number."""
+def test_revision_that_no_registry_reports_any_more_is_dropped():
+    """A control group that is restored from a backup continues with a lower revision."""
     numbers = iter([9, 3])
 
     class Link:
@@ -144,7 +144,7 @@
         def link(self, address):
             return Link()
 
-    async def play():
+    async def scenario():
         follower = RegistryFollower(Links(), "g", lambda: ["a"])
         follower.number = lambda: 3
         following = asyncio.create_task(follower.follow_forever())
@@ -156,15 +156,15 @@
         following.cancel()
         assert follower.newest_number == 3
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def end(life):
     return EndedRun(b"digest", "ana", "route", "pool", life, "nothing listens")
 
 
-def test_suspect_wakes_a_watch_that_waits_and_only_what_is_new_is_told():
-    async def play():
+def test_new_suspect_wakes_a_waiting_watch_and_is_sent_once():
+    async def scenario():
         suspects = SuspectTable()
         service = RegistryService(lambda: [], suspects=suspects)
         first = await watch_from(service, epoch="", version=0, number=0, suspects_version=0)
@@ -178,18 +178,18 @@
         suspects.report(ReportRuns((end("life-1"), end("life-2")), (), (), 1.0))
         service.on_applied()
         async with asyncio.timeout(WATCH_HOLD / 2):
-            told = (await waiting).suspects
-        assert [(one.digest, one.ends) for one in told.changed] == [(b"digest", 2)]
+            update = (await waiting).suspects
+        assert [(one.digest, one.ends) for one in update.changed] == [(b"digest", 2)]
         again = await watch_from(
-            service, epoch="", version=0, number=0, suspects_version=told.version
+            service, epoch="", version=0, number=0, suspects_version=update.version
         )
         assert not again.suspects.full and not again.suspects.changed
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_watcher_of_an_earlier_release_is_told_nothing_of_suspects_and_waits_for_none():
-    async def play():
+def test_suspects_neither_reach_nor_wake_subscribers_of_an_earlier_release():
+    async def scenario():
         suspects = SuspectTable()
         suspects.report(ReportRuns((end("life-1"), end("life-2")), (), (), 1.0))
         service = RegistryService(lambda: [], suspects=suspects)
@@ -199,11 +199,11 @@
         await watch_from(service, epoch=first.epoch, version=first.version, ages_told=0.7)
         assert asyncio.get_running_loop().time() - began > 0.2
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_one_registry_of_an_earlier_release_is_enough_to_report_nothing():
-    """It would end the link of whoever sends what it does not know."""
+def test_one_registry_without_suspects_support_disables_reports():
+    """That registry would close the link of a sender of unknown messages."""
     follower = RegistryFollower(None, "g", lambda: [])
     follower._supports_suspects = {"a": True, "b": True}
     assert follower.all_tell_suspects
