--- a/tests/evacuations/test_state.py
+++ b/tests/evacuations/test_state.py
@@ -1,4 +1,4 @@
-"""Orders to evacuate and restore: idempotent, in log order, whole after snapshots."""
+"""Orders to evacuate and restore are idempotent, apply in log order and survive snapshots."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -13,18 +13,18 @@
 ORDERS = st.lists(st.tuples(st.sampled_from("abc"), st.booleans()), max_size=30)
 
 
-def order(place, evacuated, operator="ana", time=5.0):
-    return OrderEvacuation(place, evacuated, operator, time)
+def order(data_centre_name, evacuated, operator="ana", time=5.0):
+    return OrderEvacuation(data_centre_name, evacuated, operator, time)
 
 
 @given(ORDERS)
-def test_last_order_of_each_place_holds(orders):
+def test_last_order_of_each_data_centre_wins(orders):
     state = Evacuations()
     wanted = set()
-    for place, evacuated in orders:
-        (wanted.add if evacuated else wanted.discard)(place)
+    for data_centre_name, evacuated in orders:
+        (wanted.add if evacuated else wanted.discard)(data_centre_name)
         before = state.places
-        result = state.order(order(place, evacuated))
+        result = state.order(order(data_centre_name, evacuated))
         assert result.places.data_centres == wanted
         assert result.changed == (before.data_centres != wanted)
         assert result.places.version == before.version + result.changed
@@ -33,26 +33,26 @@
 @given(ORDERS, st.integers(1, 4))
 def test_resent_orders_change_nothing(orders, copies):
     once, often = Evacuations(), Evacuations()
-    for place, evacuated in orders:
-        once.order(order(place, evacuated))
+    for data_centre_name, evacuated in orders:
+        once.order(order(data_centre_name, evacuated))
         for _ in range(copies):
-            often.order(order(place, evacuated, operator="bao", time=9.0))
+            often.order(order(data_centre_name, evacuated, operator="bao", time=9.0))
     assert once.places == often.places
 
 
 @given(ORDERS, ORDERS)
-def test_replica_that_took_a_snapshot_goes_on_like_the_others(earlier, later):
+def test_replica_restored_from_a_snapshot_stays_consistent(earlier, later):
     one, other = StateMachine(), StateMachine()
-    for place, evacuated in earlier:
-        one.apply(pack(order(place, evacuated)))
+    for data_centre_name, evacuated in earlier:
+        one.apply(pack(order(data_centre_name, evacuated)))
     other.restore(one.snapshot())
     assert other.evacuations.listed() == one.evacuations.listed()
-    for place, evacuated in later:
-        results = {m.apply(pack(order(place, evacuated))).places for m in (one, other)}
+    for data_centre_name, evacuated in later:
+        results = {m.apply(pack(order(data_centre_name, evacuated))).places for m in (one, other)}
         assert len(results) == 1
 
 
-def test_version_survives_a_snapshot_when_nothing_is_evacuated():
+def test_version_survives_a_snapshot_without_evacuations():
     state = Evacuations()
     state.order(order("a", True))
     state.order(order("a", False))
@@ -61,7 +61,7 @@
     assert again.places == EvacuatedPlaces(2, frozenset())
 
 
-def test_snapshot_of_an_earlier_release_evacuates_nothing():
+def test_snapshot_of_an_earlier_release_has_no_evacuations():
     machine = StateMachine()
     earlier = StateSnapshot(machine.catalog.snapshot(), machine.ledger.snapshot())
     machine.apply(pack(order("a", True)))
@@ -70,17 +70,17 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 9), st.sets(st.sampled_from("abc"))), max_size=20))
-def test_gateway_never_steps_back(told):
+def test_gateway_ignores_lower_versions(updates):
     held = HeldEvacuations()
     seen = []
     held.on_change.append(lambda before, after: seen.append((before.version, after.version)))
-    for version, places in told:
+    for version, places in updates:
         held.take(Evacuated(version=version, data_centres=sorted(places)))
-    assert held.version == max((version for version, _ in told), default=0)
+    assert held.version == max((version for version, _ in updates), default=0)
     assert all(after > before for before, after in seen)
 
 
-def test_peer_that_tells_nothing_changes_nothing():
+def test_missing_or_empty_update_is_ignored():
     held = HeldEvacuations()
     held.take(to_wire(EvacuatedPlaces(3, frozenset("a"))))
     assert not held.take(None)
--- a/traystall/evacuations/__init__.py
+++ b/traystall/evacuations/__init__.py
@@ -1,1 +1,1 @@
-"""Data centres that operators have emptied: no new work goes to their targets."""
+"""Evacuations: data centres whose targets get no new work, by order of an operator."""
--- a/traystall/evacuations/held.py
+++ b/traystall/evacuations/held.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of evacuations: the highest version that any control daemon has told."""
+"""A gateway's cache of evacuations, at the highest version received from any control daemon."""
 
 from collections.abc import Callable
 
@@ -9,10 +9,10 @@
 
 
 class HeldEvacuations:
-    """Hold the evacuated data centres; `take` moves forward only.
+    """The evacuated data centres in force at a gateway; `take` ignores lower versions.
 
-    A control daemon that was cut off, or has just started, tells of a lower
-    version: a target that was given up must not get work again because of it.
+    A control daemon that was partitioned or has just started sends a lower version. The targets of
+    an evacuated data centre must not get work again because of it.
     """
 
     def __init__(self):
@@ -24,12 +24,12 @@
         """Return the version in force."""
         return self.places.version
 
-    def take(self, told: Evacuated | None) -> bool:
-        """Take in what a control daemon tells; return whether it is newer than what is held."""
-        if told is None or (told.version or 0) <= self.version:
+    def take(self, message: Evacuated | None) -> bool:
+        """Apply an update from a control daemon; return whether it was newer than the cache."""
+        if message is None or (message.version or 0) <= self.version:
             return False
         before = self.places
-        self.places = from_wire(told)
+        self.places = from_wire(message)
         metrics.evacuation_version.set({}, self.version)
         metrics.evacuated_data_centres.set({}, len(self.places.data_centres))
         decision(
@@ -44,10 +44,10 @@
 
 
 def to_wire(places: EvacuatedPlaces) -> Evacuated:
-    """Return what is evacuated as a wire message."""
+    """Return the RPC message for evacuated data centres."""
     return Evacuated(version=places.version, data_centres=sorted(places.data_centres))
 
 
-def from_wire(told: Evacuated) -> EvacuatedPlaces:
-    """Return a wire message as what is evacuated."""
-    return EvacuatedPlaces(told.version or 0, frozenset(told.data_centres or ()))
+def from_wire(message: Evacuated) -> EvacuatedPlaces:
+    """Return the evacuated data centres in an RPC message."""
+    return EvacuatedPlaces(message.version or 0, frozenset(message.data_centres or ()))
--- a/traystall/evacuations/models.py
+++ b/traystall/evacuations/models.py
@@ -1,12 +1,12 @@
-"""Orders to evacuate or restore a data centre, their answers, and what is evacuated."""
+"""Orders to evacuate or restore a data centre, their results, and the evacuated data centres."""
 
 import msgspec
 
 
 class OrderEvacuation(msgspec.Struct, frozen=True, tag="evacuation"):
-    """Ask that a data centre be evacuated, or restored if `evacuated` is false.
+    """Order to evacuate a data centre, or to restore it if `evacuated` is false.
 
-    `time` is log time in seconds since the epoch, for operators to read only.
+    `time` is log time in seconds since the epoch. It is only displayed to operators.
     """
 
     data_centre: str
@@ -16,7 +16,7 @@
 
 
 class Evacuation(msgspec.Struct, frozen=True):
-    """Remember who evacuated a data centre, at which version and log time in seconds."""
+    """An evacuated data centre, with the operator, version and log time (seconds) of the order."""
 
     data_centre: str
     operator: str
@@ -25,14 +25,14 @@
 
 
 class EvacuatedPlaces(msgspec.Struct, frozen=True):
-    """Name the evacuated data centres at a version; a higher version replaces all of this."""
+    """The evacuated data centres at a version; a higher version replaces the whole set."""
 
     version: int = 0
     data_centres: frozenset[str] = frozenset()
 
 
 class EvacuationResult(msgspec.Struct, frozen=True):
-    """Answer an order: whether it changed anything, and what is evacuated after it."""
+    """The result of an order: whether it changed anything, and the evacuated data centres."""
 
     changed: bool
     places: EvacuatedPlaces
--- a/traystall/evacuations/state.py
+++ b/traystall/evacuations/state.py
@@ -1,7 +1,7 @@
-"""The evacuations: a pure state machine behind the replicated log.
+"""The evacuations: a pure state machine that applies commands of the replicated log.
 
-An order that is already carried out changes nothing, so it may be sent again in
-any number; of two that contradict each other the later one in the log holds.
+Orders are idempotent, so a client may send one again. Of two contradictory orders the later one in
+the log wins.
 """
 
 import msgspec
@@ -16,21 +16,21 @@
 
 
 class EvacuationsSnapshot(msgspec.Struct, frozen=True):
-    """Hold all evacuations for a snapshot; the version survives even when none is left."""
+    """The encoded form of Evacuations in a snapshot; it keeps the version without evacuations."""
 
     version: int
     evacuations: list[Evacuation]
 
 
 class Evacuations:
-    """Carry out orders in log order; every replica comes to the same version and places."""
+    """Apply orders in log order; all replicas reach the same version and data centres."""
 
     def __init__(self):
         self._evacuations: dict[str, Evacuation] = {}
         self.places = EvacuatedPlaces()
 
     def order(self, command: OrderEvacuation) -> EvacuationResult:
-        """Carry out one order."""
+        """Apply one order."""
         name = command.data_centre
         if command.evacuated == (name in self._evacuations):
             return EvacuationResult(False, self.places)
@@ -40,11 +40,11 @@
             self._evacuations[name] = held
         else:
             del self._evacuations[name]
-        self._set_places(version)
+        self._set_evacuated(version)
         return EvacuationResult(True, self.places)
 
     def listed(self) -> list[Evacuation]:
-        """Return the evacuations, the oldest first."""
+        """Return the evacuations, oldest first."""
         return sorted(self._evacuations.values(), key=lambda held: held.version)
 
     def snapshot(self) -> bytes:
@@ -52,10 +52,10 @@
         return pack(EvacuationsSnapshot(self.places.version, self.listed()))
 
     def restore(self, data: bytes) -> None:
-        """Replace the state by an encoded one; empty data is of a time before any evacuation."""
+        """Replace the state with an encoded one; it is empty in snapshots of earlier releases."""
         held = unpack(data, EvacuationsSnapshot) if data else EvacuationsSnapshot(0, [])
         self._evacuations = {row.data_centre: row for row in held.evacuations}
-        self._set_places(held.version)
+        self._set_evacuated(held.version)
 
-    def _set_places(self, version):
+    def _set_evacuated(self, version):
         self.places = EvacuatedPlaces(version, frozenset(self._evacuations))
