--- a/tests/routes/test_routes.py
+++ b/tests/routes/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes: the longest prefix wins, and a faulty table is refused with the field named."""
+"""Routes match by the longest prefix, and validation names the field of each problem."""
 
 import random
 
@@ -14,7 +14,7 @@
     return Route(name, host, prefix, fields.pop("splits", (Split("p"),)), **fields)
 
 
-def test_longest_prefix_of_the_host_wins():
+def test_route_is_the_longest_prefix_of_the_host():
     index = RouteIndex(
         RoutingTable(
             1,
@@ -38,7 +38,7 @@
     assert index.route("b.example", "/") is None
 
 
-def test_weights_split_requests():
+def test_pools_get_requests_by_weight():
     chosen = [
         choose_pool(route("r", splits=(Split("p", 90), Split("q", 10), Split("z", 0))), rng)
         for rng in [random.Random(1)]
@@ -48,7 +48,7 @@
     assert "z" not in chosen
 
 
-SOUND = RoutingTable(
+VALID_TABLE = RoutingTable(
     1,
     (route("r", stages=(StagePlan("p"), StagePlan("p", (0,)))),),
     (Pool("p"),),
@@ -56,8 +56,8 @@
 )
 
 
-def test_sound_table_has_no_problems():
-    assert check_table(SOUND) == []
+def test_valid_table_has_no_problems():
+    assert check_table(VALID_TABLE) == []
 
 
 @pytest.mark.parametrize(
@@ -78,18 +78,18 @@
         ),
     ],
 )
-def test_faulty_table_is_named(change, problem, named):
-    problems = check_table(msgspec.structs.replace(SOUND, **change))
+def test_invalid_table_has_one_problem(change, problem, named):
+    problems = check_table(msgspec.structs.replace(VALID_TABLE, **change))
     assert [p.id for p in problems] == [problem]
     assert named in problems[0].message
 
 
-def test_keys_find_their_customers():
-    index = RouteIndex(SOUND)
+def test_customer_is_found_by_key():
+    index = RouteIndex(VALID_TABLE)
     assert index.customer("k2").name == "bo"
     assert index.customer("k3") is None
 
 
-def test_what_no_stage_reads_is_read_by_the_request():
+def test_final_stages_are_read_by_no_other_stage():
     stages = (StagePlan("p"), StagePlan("p"), StagePlan("p", (1,)))
     assert route("r", stages=stages).final_stages() == (0, 2)
--- a/traystall/routes/__init__.py
+++ b/traystall/routes/__init__.py
@@ -1,1 +1,1 @@
-"""Routes: which request goes to which pool, and what a pool can do. Pure."""
+"""Routing: the route, customer and pool of a request, and the properties of pools."""
--- a/traystall/routes/checks.py
+++ b/traystall/routes/checks.py
@@ -1,4 +1,4 @@
-"""Check a routing table as a whole; each problem names the field and its remedy."""
+"""Validation of a whole routing table; each problem names the field and a remedy."""
 
 from collections import Counter
 
@@ -7,23 +7,23 @@
 
 
 def check_table(table: RoutingTable) -> list[Problem]:
-    """Return everything that makes a routing table unusable."""
+    """Return the problems that make a routing table unusable."""
     pools = {pool.name for pool in table.pools}
     problems = []
     for route in table.routes:
         problems += _check_route(route, pools)
-    problems += _check_places(table)
-    problems += _check_keys(table)
+    problems += _check_prefixes(table)
+    problems += _check_customer_keys(table)
     return problems
 
 
 def _check_route(route: Route, pools: set[str]) -> list[Problem]:
     where = f"routes[{route.name}]"
     problems = []
-    wanted = [split.pool for split in route.splits] + [stage.pool for stage in route.stages]
+    used_pools = [split.pool for split in route.splits] + [stage.pool for stage in route.stages]
     problems += [
         Problem("routes.E001", f"{where} names the unknown pool '{pool}'.", "Declare the pool.")
-        for pool in wanted
+        for pool in used_pools
         if pool not in pools
     ]
     if sum(split.weight for split in route.splits) <= 0:
@@ -46,7 +46,7 @@
     return problems
 
 
-def _check_places(table: RoutingTable) -> list[Problem]:
+def _check_prefixes(table: RoutingTable) -> list[Problem]:
     places = Counter((route.host, route.path_prefix) for route in table.routes)
     return [
         Problem(
@@ -59,8 +59,8 @@
     ]
 
 
-def _check_keys(table: RoutingTable) -> list[Problem]:
-    """Return a problem for each two customers with one key; the key itself is not shown."""
+def _check_customer_keys(table: RoutingTable) -> list[Problem]:
+    """Return a problem for each key of two customers, without showing the key."""
     holders: dict[str, str] = {}
     problems = []
     for customer in table.customers or ():
--- a/traystall/routes/matching.py
+++ b/traystall/routes/matching.py
@@ -1,39 +1,39 @@
-"""Find the route, the customer and the pool of a request."""
+"""Lookup of the route, customer and pool of a request."""
 
 from traystall.routes.models import KeyedCustomer, Pool, Route, RoutingTable
 
 
 class RouteIndex:
-    """Answer questions about one routing table without walking through it."""
+    """Indexes of one routing table for lookups by host and path, name, and key."""
 
     def __init__(self, table: RoutingTable):
         self.table = table
         self.pools: dict[str, Pool] = {pool.name: pool for pool in table.pools}
         self._by_name = {route.name: route for route in table.routes}
-        self._routes: dict[str, dict[str, Route]] = {}
+        self._routes_by_host: dict[str, dict[str, Route]] = {}
         for route in table.routes:
-            self._routes.setdefault(route.host.lower(), {})[route.path_prefix] = route
-        self._holders: dict[str, KeyedCustomer] = {}
+            self._routes_by_host.setdefault(route.host.lower(), {})[route.path_prefix] = route
+        self._customers_by_key: dict[str, KeyedCustomer] = {}
         for customer in table.customers or ():
             for key in customer.keys:
-                self._holders[key] = customer
+                self._customers_by_key[key] = customer
 
     @property
     def number(self) -> int:
-        """Return the number of the revision; 0 before the first one."""
+        """Return the number of the revision, 0 before the first one."""
         return self.table.number
 
     @property
     def wants_keys(self) -> bool:
-        """Return whether requests on routes that are not public must show a key."""
+        """Return whether requests on routes that are not public need a customer's key."""
         return self.table.customers is not None
 
     def route(self, host: str, path: str) -> Route | None:
-        """Return the route of the longest prefix that begins `path` at `host`, or None.
+        """Return the route of `host` with the longest prefix of `path`, or None.
 
-        `path` comes without its query; prefixes begin and end with a slash.
+        `path` has no query. Prefixes begin and end with a slash.
         """
-        routes = self._routes.get(_without_port(host).lower())
+        routes = self._routes_by_host.get(_without_port(host).lower())
         if not routes:
             return None
         end = len(path)
@@ -47,28 +47,28 @@
             end = slash
 
     def named(self, name: str) -> Route | None:
-        """Return the route called `name`, or None."""
+        """Return the route with this name, or None."""
         return self._by_name.get(name)
 
     def customer(self, key: str) -> KeyedCustomer | None:
-        """Return the customer that holds `key`, or None."""
-        return self._holders.get(key)
+        """Return the customer to which `key` belongs, or None."""
+        return self._customers_by_key.get(key)
 
 
 def places_of(route: Route, customer: KeyedCustomer | None) -> tuple[str, ...] | None:
-    """Return the data centres in which a request may run; none means anywhere.
+    """Return the data centres in which a request may run; an empty tuple stands for all.
 
-    Where both the route and the customer name some, both bind; None says that they have none
-    in common, so that the request may run nowhere.
+    If both the route and the customer name data centres, a request is limited to those that they
+    have in common. None means that there are none, so the request may not run anywhere.
     """
-    own = customer.data_centres if customer is not None else ()
-    if not own or not route.data_centres:
-        return own or route.data_centres
-    return tuple(name for name in route.data_centres if name in own) or None
+    customer_data_centres = customer.data_centres if customer is not None else ()
+    if not customer_data_centres or not route.data_centres:
+        return customer_data_centres or route.data_centres
+    return tuple(name for name in route.data_centres if name in customer_data_centres) or None
 
 
 def choose_pool(route: Route, random) -> str:
-    """Return the pool of one request, by the route's weights."""
+    """Return a pool for one request, chosen at random by the route's weights."""
     if len(route.splits) == 1:
         return route.splits[0].pool
     weights = [split.weight for split in route.splits]
--- a/traystall/routes/models.py
+++ b/traystall/routes/models.py
@@ -1,24 +1,24 @@
-"""What an operator declares of routes: hosts and paths, pools, customers with keys, bounds.
+"""The routing configuration: routes, pools, customers with their keys, and limits for callers.
 
-Times are seconds, sizes bytes. Every value is immutable; a new revision brings a
-new `RoutingTable`.
+Times are in seconds, sizes in bytes. All values are immutable; each revision of the configuration
+has its own `RoutingTable`.
 """
 
 import msgspec
 
 
 class Split(msgspec.Struct, frozen=True):
-    """Give a pool its share of a route's requests; shares are relative weights."""
+    """The share of a pool in a route's requests, as a relative weight."""
 
     pool: str
     weight: int = 1
 
 
 class StagePlan(msgspec.Struct, frozen=True):
-    """Declare one stage of pieces that is run before the request itself.
+    """One stage of a route. Its pieces run before the request itself.
 
-    `after` lists the stages whose results every piece of this one reads;
-    `result_bytes` is about the size of one result.
+    A piece is one unit of work, which a target runs in a batch with others. `after` lists the
+    stages whose results each piece reads; `result_bytes` is the approximate size of one result.
     """
 
     pool: str
@@ -27,12 +27,11 @@
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Declare what becomes of requests for one host and path prefix.
+    """How requests for one host and path prefix are handled.
 
-    `timeout` is the longest a request may be held, `aim` the time within which
-    an answer is in time, `pause_aim` the same for the pause between events of a
-    stream. Priority 0 is the most urgent. Its targets and results stay inside
-    `data_centres`; none named means anywhere.
+    `timeout` is the longest time that a request may take. `aim` is the latency objective of a
+    response, `pause_aim` that of the gap between events of a stream. Priority 0 is the most
+    urgent. Requests and results stay inside `data_centres`; if it is empty, any will do.
     """
 
     name: str
@@ -54,17 +53,17 @@
 
     @property
     def may_run_again(self) -> bool:
-        """Return whether a second run of a request can't double anything."""
+        """Return whether a request may run twice without duplicate effects or output."""
         return self.resumable if self.streamed else self.repeatable
 
     def final_stages(self) -> tuple[int, ...]:
-        """Return the stages that no other stage reads: the request itself reads them."""
+        """Return the stages whose results only the request itself reads."""
         read = {index for stage in self.stages for index in stage.after}
         return tuple(index for index in range(len(self.stages)) if index not in read)
 
 
 class EngineProfile(msgspec.Struct, frozen=True):
-    """Describe the engines of a pool: slots at once and tokens of memory of each."""
+    """The engines of a pool; `slots` is the concurrency of one engine, memory is in tokens."""
 
     slots: int = 1
     memory_tokens: int = 0
@@ -72,10 +71,10 @@
 
 
 class BatchProfile(msgspec.Struct, frozen=True):
-    """Describe targets that work on batches of pieces, each figure for one target.
+    """Targets that run batches of pieces; all figures are per target.
 
-    A call takes about `call_seconds` and `piece_seconds` for each piece; results
-    take room at their worker until they are freed or `result_lifetime` is over.
+    A call takes about `call_seconds` plus `piece_seconds` for each piece. Results occupy memory at
+    their worker until they are freed or `result_lifetime` has passed.
     """
 
     slots: int = 1
@@ -87,16 +86,16 @@
     result_lifetime: float = 0.0
 
     def seconds(self, pieces: int) -> float:
-        """Return about how long a call with so many pieces takes."""
+        """Return the estimated duration of a call with a number of pieces."""
         return self.call_seconds + self.piece_seconds * pieces
 
 
 class Pool(msgspec.Struct, frozen=True):
-    """Declare targets that can stand in for one another.
+    """A group of interchangeable targets.
 
-    `max_connections` is what one target accepts from all gateways together. A target
-    that has started stays cold for `cold_seconds` and bears `cold_per_second` requests
-    meanwhile; 0 means that it bears any number.
+    `max_connections` is the limit of one target for all gateways together. After its start a target
+    stays cold for `cold_seconds` and accepts `cold_per_second` requests during that time; 0 means
+    no limit.
     """
 
     name: str
@@ -109,12 +108,12 @@
 
 
 class KeyedCustomer(msgspec.Struct, frozen=True):
-    """Declare a customer that shows who it is by any of its keys.
+    """A customer that authenticates with any of its keys.
 
-    A customer's `priority`, where it has one, goes before the route's. Its
-    requests and results stay inside `data_centres`; none named means anywhere. With
-    `enters_anywhere` a gateway outside may read its requests, for it is the one that the
-    caller has reached, and send them on to targets inside.
+    The customer's `priority`, if set, overrides that of the route. Its requests and results stay
+    inside `data_centres`; if it is empty, any will do. With `enters_anywhere`, a gateway in another
+    data centre may read its requests, because the caller has reached that gateway, and forward
+    them to targets inside.
     """
 
     name: str
@@ -133,7 +132,7 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True):
-    """Bound what a caller may send, how long it may take, and how long it may idle."""
+    """Limits for callers on the size and duration of requests and on idle connections."""
 
     max_header_bytes: int = 16 * 1024
     max_body_bytes: int = 4 * 1024 * 1024
@@ -142,7 +141,7 @@
 
 
 class RoutingTable(msgspec.Struct, frozen=True):
-    """Hold everything that routing needs of one revision."""
+    """The routing configuration of one revision."""
 
     number: int = 0
     routes: tuple[Route, ...] = ()
--- a/traystall/routes/tables.py
+++ b/traystall/routes/tables.py
@@ -1,7 +1,7 @@
-"""The routes of one revision, made from its entities.
+"""The routing tables of one revision, built from its entities.
 
-Entities are opaque to the catalog; a translator makes a routing table of them,
-so that another platform's documents travel as they are.
+Entities are opaque to the catalog. A translator builds the routing table from them, so documents of
+another platform are replicated unchanged.
 """
 
 from collections.abc import Callable
@@ -14,23 +14,23 @@
 
 
 def translate_entities(number: int, encoded: dict[str, bytes]) -> RoutingTable:
-    """Return the routes that a bundle of our own form declares."""
-    keyed = tuple(_rows("keyed_customer", KeyedCustomer, encoded))
+    """Return the routing table of a bundle in Traystall's own format."""
+    keyed = tuple(_unpack_all("keyed_customer", KeyedCustomer, encoded))
     return RoutingTable(
         number=number,
-        routes=tuple(_rows("route", Route, encoded)),
-        pools=tuple(_rows("pool", Pool, encoded)),
+        routes=tuple(_unpack_all("route", Route, encoded)),
+        pools=tuple(_unpack_all("pool", Pool, encoded)),
         customers=keyed or None,
     )
 
 
-def _rows(kind, row_type, encoded):
+def _unpack_all(kind, row_type, encoded):
     keys = sorted(key for key in encoded if key.startswith(f"{kind}/"))
     return [unpack(encoded[key], row_type) for key in keys]
 
 
 class RoutingTables:
-    """Hold the routes in force; `updated` gives those of a newer revision."""
+    """The routing table in force; `updated` returns that of a newer revision."""
 
     def __init__(self, translate: Translator, number: int = 0, table: RoutingTable | None = None):
         self.number = number
@@ -38,5 +38,5 @@
         self._translate = translate
 
     def updated(self, number: int, encoded: dict[str, bytes], changed) -> "RoutingTables":
-        """Return the tables of a newer revision."""
+        """Return the tables of a newer revision with all its encoded entities."""
         return RoutingTables(self._translate, number, self._translate(number, encoded))
