--- a/tests/ledger/test_state.py
+++ b/tests/ledger/test_state.py
@@ -1,4 +1,4 @@
-"""The ledger against a naive version, and its rules one by one."""
+"""The rules of the ledger, one by one and against a naive implementation."""
 
 import random
 
@@ -22,7 +22,7 @@
     return Release(customer, key, claim_id, time)
 
 
-def test_first_claim_wins_and_its_resend_too():
+def test_first_claim_and_its_retry_win():
     ledger = Ledger()
     assert ledger.claim(claim("one")).outcome is ClaimOutcome.WON
     assert ledger.claim(claim("one")).outcome is ClaimOutcome.WON
@@ -40,7 +40,7 @@
     assert ledger.claim(claim("two", customer="d")).outcome is ClaimOutcome.WON
 
 
-def test_settled_key_answers_with_the_outcome():
+def test_claim_of_a_settled_key_returns_the_outcome():
     ledger = Ledger()
     ledger.claim(claim("one"))
     assert ledger.settle(settle("two")) is LedgerOutcome.UNKNOWN
@@ -57,7 +57,7 @@
     assert ledger.claim(claim("two", fingerprint=b"g")).outcome is ClaimOutcome.MISMATCH
 
 
-def test_only_the_claimant_gives_back_and_never_wins_again():
+def test_only_the_claimant_releases_and_never_wins_again():
     ledger = Ledger()
     ledger.claim(claim("one"))
     assert ledger.release(release("two")) is LedgerOutcome.UNKNOWN
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("end", [None, settle("one")])
-def test_expired_key_gets_an_explicit_answer_then_is_forgotten(end):
+def test_expired_key_is_reported_and_later_removed(end):
     ledger = Ledger()
     ledger.claim(claim("one"))
     if end is not None:
@@ -78,7 +78,7 @@
     assert ledger.claim(claim("two", time=RETENTION * 2)).outcome is ClaimOutcome.WON
 
 
-def test_log_time_never_steps_back():
+def test_log_time_never_goes_back():
     ledger = Ledger()
     ledger.claim(claim("one", time=50.0))
     ledger.claim(claim("two", key="other", time=10.0))
@@ -86,14 +86,14 @@
 
 
 class NaiveLedger:
-    """Keep every command ever seen and decide by reading them all."""
+    """Keeps all commands with their outcomes and decides by reading the whole history."""
 
     def __init__(self):
         self.history = []
         self.time = 0.0
 
-    def _live(self, command):
-        """Return (holder claim, settled, released ids) of the key as of now."""
+    def _current_claim(self, command):
+        """Return the key's current claim, its time, whether it is settled, and released ids."""
         self.time = max(self.time, command.time)
         holder, started, settled, released = None, 0.0, False, set()
         for time, old, outcome in self.history:
@@ -112,14 +112,14 @@
         return holder, started, settled, released
 
     def run(self, command):
-        """Return the outcome, by the rules in words."""
-        holder, started, settled, released = self._live(command)
+        """Return the outcome of a command by the rules of the ledger."""
+        holder, started, settled, released = self._current_claim(command)
         outcome = self._decide(command, holder, started, settled, released)
         self.history.append((self.time, command, outcome))
         return outcome
 
     def _decide(self, command, holder, started, settled, released):
-        mine = holder is not None and holder.claim_id == command.claim_id
+        is_holder = holder is not None and holder.claim_id == command.claim_id
         free = holder is None or holder.claim_id in released
         if isinstance(command, Claim):
             if holder is None:
@@ -134,8 +134,8 @@
                 return ClaimOutcome.EXPIRED
             if settled:
                 return ClaimOutcome.SETTLED
-            return ClaimOutcome.WON if mine else ClaimOutcome.HELD
-        if not mine:
+            return ClaimOutcome.WON if is_holder else ClaimOutcome.HELD
+        if not is_holder:
             return LedgerOutcome.UNKNOWN
         if isinstance(command, Settle):
             return LedgerOutcome.UNKNOWN if free else LedgerOutcome.DONE
@@ -151,10 +151,10 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_matches_the_naive_version(seed):
-    """Differential, with a snapshot and restore now and then."""
+def test_matches_the_naive_ledger(seed):
+    """Random commands give the same outcomes, also after a snapshot and restore."""
     rng = random.Random(seed)
-    ledger, naive, time = Ledger(), NaiveLedger(), 0.0
+    ledger, reference, time = Ledger(), NaiveLedger(), 0.0
     for _ in range(200):
         time += rng.choice((0.0, 1.0, 5.0, 60.0))
         command = random_command(rng, time - rng.choice((0.0, 0.0, 3.0)))
@@ -164,7 +164,7 @@
             outcome = ledger.settle(command)
         else:
             outcome = ledger.release(command)
-        assert outcome == naive.run(command), command
+        assert outcome == reference.run(command), command
         if rng.random() < 0.05:
             data = ledger.snapshot()
             ledger = Ledger()
--- a/traystall/ledger/__init__.py
+++ b/traystall/ledger/__init__.py
@@ -1,1 +1,1 @@
-"""Pure state machine of claims and outcomes of not-repeatable work."""
+"""The ledger of claims and outcomes of requests that must not run twice."""
--- a/traystall/ledger/models.py
+++ b/traystall/ledger/models.py
@@ -1,4 +1,4 @@
-"""Commands and answers of the ledger; ids, fingerprints and outcomes only, never payload."""
+"""Commands and results of the ledger. They hold ids, fingerprints and outcomes, but no payload."""
 
 from enum import StrEnum
 
@@ -6,24 +6,27 @@
 
 
 class ClaimOutcome(StrEnum):
-    """Name the answer to a claim."""
+    """The result of a claim."""
 
-    # This claim holds the key and may dispatch.
+    # This claim holds the key, and its claimant may dispatch the work.
     WON = "won"
     # Another claim holds the key and has no outcome yet.
     HELD = "held"
-    # The work ran; its outcome is recorded.
+    # The work has run, and its outcome is recorded.
     SETTLED = "settled"
-    # The key was used with another request.
+    # The key was used with a different request.
     MISMATCH = "mismatch"
-    # The key was used, its outcome is past retention; it will not run again.
+    # The key was used and its retention has passed. The work will not run again.
     EXPIRED = "expired"
-    # This very claim was given back; its holder may not dispatch any more.
+    # This claim was released, so its claimant may no longer dispatch the work.
     RELEASED = "released"
 
 
 class Claim(msgspec.Struct, frozen=True, tag="claim"):
-    """Ask for the right to dispatch; `time` is log time in seconds since the epoch."""
+    """Claim the right to dispatch the work of a key.
+
+    `time` is log time in seconds since the epoch.
+    """
 
     customer: str
     key: str
@@ -36,7 +39,7 @@
 
 
 class Settle(msgspec.Struct, frozen=True, tag="settle"):
-    """Record that the claimed work ran, with the digest of its answer and who keeps it."""
+    """Record that the claimed work ran, with the digest and the holders of its result."""
 
     customer: str
     key: str
@@ -47,7 +50,7 @@
 
 
 class Release(msgspec.Struct, frozen=True, tag="release"):
-    """Give a claim back: its work is proven not to have run and never will."""
+    """Release a claim whose work provably has not run and will not run."""
 
     customer: str
     key: str
@@ -56,7 +59,7 @@
 
 
 class ClaimResult(msgspec.Struct, frozen=True):
-    """Answer a claim, with the claim that holds the key."""
+    """The result of a claim, with the claim that holds the key."""
 
     outcome: ClaimOutcome
     claim_id: str = ""
@@ -66,7 +69,7 @@
 
 
 class LedgerOutcome(StrEnum):
-    """Name the answer to a settle or a release."""
+    """The result of a Settle or Release command."""
 
     DONE = "done"
     UNKNOWN = "unknown"
--- a/traystall/ledger/state.py
+++ b/traystall/ledger/state.py
@@ -1,8 +1,8 @@
-"""The ledger: a pure state machine of keyed not-repeatable work.
+"""The ledger: a pure state machine of work that must not run twice, identified by a key.
 
-A key belongs to one customer. At most one claim of a key may ever be told to
-dispatch; only the claimant itself can give its claim back, and only when it
-proves that nothing ran. Expiry goes by log time, which never steps back.
+Each key belongs to one customer and has at most one claim that may dispatch the work. Only the
+claimant can release its claim, and only if the work provably has not run. Expiry follows log time,
+which never goes back.
 """
 
 import heapq
@@ -20,12 +20,12 @@
     Settle,
 )
 
-# An expired key still gets an explicit answer for this many retentions more.
-EXPIRED_ANSWER_FACTOR = 1.0
+# How long claims of an expired key are answered with EXPIRED, as a multiple of its retention.
+EXPIRED_RESULT_RATIO = 1.0
 
 
 class EntryState(StrEnum):
-    """Name the state of a key."""
+    """The state of a key."""
 
     CLAIMED = "claimed"
     SETTLED = "settled"
@@ -33,7 +33,7 @@
 
 
 class LedgerEntry(msgspec.Struct):
-    """Hold what is known of one key."""
+    """The claim of one key and its outcome."""
 
     customer: str
     key: str
@@ -51,25 +51,25 @@
 
 
 class LedgerSnapshot(msgspec.Struct, frozen=True):
-    """Hold the whole ledger for a snapshot."""
+    """The encoded form of the ledger in a snapshot."""
 
     time: float
     entries: list[LedgerEntry]
 
 
 class Ledger:
-    """Decide claims in log order; every replica decides alike."""
+    """Decide on claims in log order; all replicas reach the same decisions."""
 
     def __init__(self):
         self.time = 0.0
         self._entries: dict[tuple[str, str], LedgerEntry] = {}
-        self._expiry: list[tuple[float, str, str]] = []
+        self._removals: list[tuple[float, str, str]] = []
 
     def __len__(self):
         return len(self._entries)
 
     def claim(self, command: Claim) -> ClaimResult:
-        """Answer who may dispatch the work of a key."""
+        """Decide which claim may dispatch the work of a key."""
         self._advance(command.time)
         entry = self._entries.get((command.customer, command.key))
         if entry is None:
@@ -82,10 +82,10 @@
             return self._grant(command, released=entry.released)
         if self.time >= entry.expires_at:
             return ClaimResult(ClaimOutcome.EXPIRED, entry.claim_id, entry.claimant)
-        return self._answer_held(entry, command)
+        return self._claim_result(entry, command)
 
     def settle(self, command: Settle) -> LedgerOutcome:
-        """Record the outcome of a claim, or add holders of its kept result."""
+        """Record the outcome of a claim, or add holders of its stored result."""
         self._advance(command.time)
         entry = self._entries.get((command.customer, command.key))
         if entry is None or entry.claim_id != command.claim_id:
@@ -100,7 +100,7 @@
         return LedgerOutcome.DONE
 
     def release(self, command: Release) -> LedgerOutcome:
-        """Give back a claim whose work is proven not to have run."""
+        """Release a claim whose work provably has not run."""
         self._advance(command.time)
         entry = self._entries.get((command.customer, command.key))
         if entry is None or entry.claim_id != command.claim_id:
@@ -114,7 +114,7 @@
 
     def unsettled(self) -> list[LedgerEntry]:
         """Return the claims without an outcome, oldest first."""
-        claimed = [e for e in self._entries.values() if e.state is EntryState.CLAIMED]
+        claimed = [entry for entry in self._entries.values() if entry.state is EntryState.CLAIMED]
         return sorted(claimed, key=lambda entry: entry.claimed_at)
 
     def snapshot(self) -> bytes:
@@ -122,14 +122,14 @@
         return pack(LedgerSnapshot(self.time, list(self._entries.values())))
 
     def restore(self, data: bytes) -> None:
-        """Replace the state by an encoded one."""
+        """Replace the state with an encoded one."""
         held = unpack(data, LedgerSnapshot)
         self.time = held.time
         self._entries = {(entry.customer, entry.key): entry for entry in held.entries}
-        self._expiry = [(e.forget_at, e.customer, e.key) for e in held.entries]
-        heapq.heapify(self._expiry)
+        self._removals = [(entry.forget_at, entry.customer, entry.key) for entry in held.entries]
+        heapq.heapify(self._removals)
 
-    def _answer_held(self, entry, command):
+    def _claim_result(self, entry, command):
         if entry.state is EntryState.SETTLED:
             outcome = ClaimOutcome.SETTLED
         elif entry.claim_id == command.claim_id:
@@ -150,18 +150,18 @@
             stage=command.stage,
             claimed_at=self.time,
             expires_at=expires_at,
-            forget_at=expires_at + command.retention * EXPIRED_ANSWER_FACTOR,
+            forget_at=expires_at + command.retention * EXPIRED_RESULT_RATIO,
             released=released,
         )
         self._entries[command.customer, command.key] = entry
-        heapq.heappush(self._expiry, (entry.forget_at, entry.customer, entry.key))
+        heapq.heappush(self._removals, (entry.forget_at, entry.customer, entry.key))
         return ClaimResult(ClaimOutcome.WON, entry.claim_id, entry.claimant)
 
     def _advance(self, time):
-        """Move log time forward and forget keys that are past their last answer."""
+        """Advance the log time, and remove keys whose expiry is no longer reported."""
         self.time = max(self.time, time)
-        while self._expiry and self._expiry[0][0] <= self.time:
-            forget_at, customer, key = heapq.heappop(self._expiry)
+        while self._removals and self._removals[0][0] <= self.time:
+            forget_at, customer, key = heapq.heappop(self._removals)
             entry = self._entries.get((customer, key))
             if entry is not None and entry.forget_at == forget_at:
                 del self._entries[customer, key]
