--- a/traystall/ledger/state.py
+++ b/traystall/ledger/state.py
@@ -114,7 +114,7 @@
 
     def unsettled(self) -> list[LedgerEntry]:
         """Return the claims without an outcome, oldest first."""
-        claimed = [entry for entry in self._entries.values() if entry.state is EntryState.CLAIMED]
+        claimed = [row for row in self._entries.values() if row.state is EntryState.CLAIMED]
         return sorted(claimed, key=lambda entry: entry.claimed_at)
 
     def snapshot(self) -> bytes:
@@ -126,7 +126,7 @@
         held = unpack(data, LedgerSnapshot)
         self.time = held.time
         self._entries = {(entry.customer, entry.key): entry for entry in held.entries}
-        self._removals = [(entry.forget_at, entry.customer, entry.key) for entry in held.entries]
+        self._removals = [(row.forget_at, row.customer, row.key) for row in held.entries]
         heapq.heapify(self._removals)
 
     def _claim_result(self, entry, command):
