--- a/traystall/quarantine/held.py
+++ b/traystall/quarantine/held.py
@@ -52,21 +52,21 @@
         """Return one suspect, or None."""
         return self._suspects.get(digest)
 
-    def take(self, told: Suspects | None) -> bool:
+    def take(self, message: Suspects | None) -> bool:
         """Apply an update from a control daemon; return whether it was newer than the cache."""
-        if told is None:
+        if message is None:
             return False
         self.is_initialized = True
-        if (told.version or 0) <= self.version:
+        if (message.version or 0) <= self.version:
             return False
         now = clock.monotonic()
-        if told.full:
+        if message.full:
             self._suspects.clear()
-        for record in told.changed or ():
+        for record in message.changed or ():
             self._suspects[record.digest] = _from_record(record, now)
-        for digest in told.removed or ():
+        for digest in message.removed or ():
             self._suspects.pop(digest, None)
-        self.version = told.version
+        self.version = message.version
         self._notify_changed()
         return True
 
