--- a/traystall/quarantine/guard.py
+++ b/traystall/quarantine/guard.py
@@ -19,8 +19,8 @@
 _TRIAL_CALL_TIMEOUT_SECONDS = 1.0
 # Interval of trial requests while another trial is running, unless suspects change earlier.
 _TRIAL_RETRY_SECONDS = 0.1
-# Retry-After of a request that is refused because another trial is running.
-_TRIAL_BUSY_RETRY_AFTER_SECONDS = 1.0
+# Retry-After of a request that needs a trial while none can start.
+_RETRY_AFTER_SECONDS = 1.0
 
 
 class GuardedRun:
@@ -152,9 +152,7 @@
                 return _ADMITTED
             left = deadline - clock.monotonic()
             if left <= 0:
-                return self._refused(
-                    run, _TRIAL_BUSY_RETRY_AFTER_SECONDS, "another trial is under way"
-                )
+                return self._refused(run, _RETRY_AFTER_SECONDS, "another trial is under way")
             await self.held.wait(min(left, _TRIAL_RETRY_SECONDS))
             if self.suspect(run) is None:
                 return _ADMITTED
@@ -166,7 +164,7 @@
             return _ADMITTED
         if not self._local.try_begin(digest, clock.monotonic()):
             return self._refused(
-                run, _TRIAL_BUSY_RETRY_AFTER_SECONDS, "the leader can't be asked about its ends"
+                run, _RETRY_AFTER_SECONDS, "the leader can't be asked about its ends"
             )
         run.trial, run.is_local = new_id(), True
         return _ADMITTED
