--- a/tests/passthrough/test_asking.py
+++ b/tests/passthrough/test_asking.py
@@ -14,7 +14,7 @@
 from traystall.passthrough.exchange.attempt import Attempt
 from traystall.registry.models import RegisteredState, TargetReport
 from traystall.rpc.gen.wire.ttypes import PlaceReply
-from traystall.tables.asked import FIRST_AFTER_REST
+from traystall.tables.availability import MAX_IN_FLIGHT_AFTER_BACKOFF
 
 PIECES = {"Traystall-Pieces": "2,1", "Traystall-Piece-Key": "pk"}
 # An answer that waits for nothing comes far sooner, in seconds: chosen.
@@ -40,7 +40,7 @@
 
 def rest(gateway, runner, seconds):
     view = gateway.context.board.view(runner.identity)
-    view.asked.ask_rest(seconds, "r", clock.monotonic())
+    view.availability.request_backoff(seconds, "r", clock.monotonic())
     return view
 
 
@@ -59,7 +59,7 @@
 
 
 def shorter_rest_is_asked(gateway, runner, view):
-    view.asked.ask_rest(0.1, "later", clock.monotonic())
+    view.availability.request_backoff(0.1, "later", clock.monotonic())
 
 
 def configuration_changes(gateway, runner, view):
@@ -82,7 +82,7 @@
 
 
 def registry_is_lost(gateway, runner, view):
-    gateway.context.registry.last_heard = lambda: clock.monotonic() + 1000.0
+    gateway.context.registry.last_reply_at = lambda: clock.monotonic() + 1000.0
 
 
 EVENTS = [
@@ -103,8 +103,8 @@
     async def story(gateway, runners):
         view = rest(gateway, runners[0], 30.0)
         if leaves:
-            view.asked.lift()
-            view.asked.leaves = True
+            view.availability.lift()
+            view.availability.leaves = True
             gateway.context.board.reindex()
         event(gateway, runners[0], view)
         for _ in range(20):
@@ -132,7 +132,7 @@
         await runners[0].start_again()
         await asyncio.sleep(0.05)
         again = started_again(gateway, runners[0], 2000)
-        assert again.asked.may_get_work(clock.monotonic())
+        assert again.availability.may_send_work(clock.monotonic())
         assert (await gateway.call())[0] == 200
 
     play(story, {"plain": 1})
@@ -146,7 +146,7 @@
         runners[0].rests.append("30")
         assert (await gateway.call())[0] == 503
         again = started_again(gateway, runners[0], 2000)
-        assert again.asked.rests(clock.monotonic() + 29)
+        assert again.availability.is_backing_off(clock.monotonic() + 29)
 
     play(story, {"plain": 1})
 
@@ -167,7 +167,7 @@
                 await attempt.open(float("inf"))
         await asyncio.sleep(0.05)
         assert (runners[0].arrivals, runners[0].connections) == ([], 1)
-        view.asked.lift()
+        view.availability.lift()
         assert (await gateway.call())[0] == 200
         assert runners[0].connections == 1  # The connection was kept.
 
@@ -255,7 +255,7 @@
             runners[0].rests.append("3")
             attempt.send(b"GET /x HTTP/1.1\r\n\r\n")
             await asyncio.sleep(0.1)
-        assert view.asked.rests(clock.monotonic() + 2.5)
+        assert view.availability.is_backing_off(clock.monotonic() + 2.5)
 
     play(story, {"plain": 1})
 
@@ -265,7 +265,7 @@
 
 
 def says_that_it_leaves(gateway, runner):
-    gateway.context.board.view(runner.identity).asked.leaves = True
+    gateway.context.board.view(runner.identity).availability.leaves = True
 
 
 def reports_that_it_leaves(gateway, runner):
@@ -291,8 +291,8 @@
         asks(gateway, runners[0])
         link = Link()
         gateway.context.owners.owner = lambda key: Owner
-        gateway.context.placing._links.link = lambda address: link
-        gateway.context.placing._tell = lambda passed, what: None
+        gateway.context.placement_service._links.link = lambda address: link
+        gateway.context.placement_service._tell = lambda passed, what: None
         for _ in range(5):
             assert (await gateway.call("/events/x"))[0] == 200
         assert link.excluded == ["engine-0"]
@@ -327,7 +327,7 @@
         view = rest(gateway, runners[0], 0.6)
         free(gateway, runners[0])
         await asyncio.sleep(0.7)
-        assert not view.asked.rests(clock.monotonic())
+        assert not view.availability.is_backing_off(clock.monotonic())
         assert runners[0].arrivals == []
 
     play(story, {"batches": 1}, table(result_lifetime=0.3))
@@ -409,7 +409,7 @@
         rest(gateway, runners[0], 0.1)
         calls = [asyncio.create_task(gateway.call()) for _ in range(20)]
         await asyncio.sleep(0.3)
-        assert len(runners[0].arrivals) == FIRST_AFTER_REST
+        assert len(runners[0].arrivals) == MAX_IN_FLIGHT_AFTER_BACKOFF
         await asyncio.gather(*calls)
         assert (await gateway.call())[0] == 200
 
@@ -459,15 +459,15 @@
         runners[0].rests.append("0.3")
         await gateway.call(request_id="r-asked")
         await gateway.call()
-        gateway.context.asking.review(gateway.context.board.views())
+        gateway.context.notices.review(gateway.context.board.views())
         assert metrics.resting_targets.get({}) == 1
         await asyncio.sleep(0.4)
-        gateway.context.asking.review(gateway.context.board.views())
+        gateway.context.notices.review(gateway.context.board.views())
         assert metrics.resting_targets.get({}) == 0
         runners[0].leaves = True
         await gateway.call(request_id="r-left")
         await gateway.call()
-        gateway.context.asking.review(gateway.context.board.views())
+        gateway.context.notices.review(gateway.context.board.views())
         assert metrics.leaving_targets.get({}) == 1
         assert gateway.context.board.pool("plain") == []
 
@@ -490,6 +490,6 @@
         runners[0].identity = "another"
         view = gateway.context.board.view("plain-0")
         assert (await gateway.call())[0] == 503
-        assert view.is_misplaced and not view.asked.leaves
+        assert view.is_replaced and not view.availability.leaves
 
     play(story, {"plain": 1})
--- a/tests/passthrough/test_cold.py
+++ b/tests/passthrough/test_cold.py
@@ -10,8 +10,8 @@
 from traystall.core import clock
 from traystall.passthrough.health.cold import (
     WINDOW_SECONDS,
-    ColdBook,
-    ColdRule,
+    ColdStartLimit,
+    RecentRequestCounter,
     coordinator_allowance,
     own_allowance,
 )
@@ -20,7 +20,7 @@
 from traystall.registry.table import Registry
 from traystall.rpc.gen.wire.ttypes import PlaceRequest
 
-RULES = st.builds(ColdRule, excess=st.floats(1.0, 3.0), slack=st.floats(0.0, 20.0))
+RULES = st.builds(ColdStartLimit, excess=st.floats(1.0, 3.0), slack=st.floats(0.0, 20.0))
 
 
 def gateways(count):
@@ -36,7 +36,7 @@
 
 
 @given(RULES, st.floats(3.0, 200.0), st.integers(1, 120))
-@example(ColdRule(), 199.99999999999997, 1)
+@example(ColdStartLimit(), 199.99999999999997, 1)
 def test_two_coordinators_and_all_others_stay_within_the_bound(rule, per_second, count):
     names = gateways(count)
     alone = sum(own_allowance(rule, per_second, "t", name, names, dealt=False) for name in names)
@@ -45,17 +45,17 @@
 
 
 def test_coordinator_gives_a_cold_target_most_of_what_it_bears():
-    assert coordinator_allowance(ColdRule(1.5, 5.0), 9.1) == 7
-    assert coordinator_allowance(ColdRule(3.0, 5.0), 9.1) == 9
+    assert coordinator_allowance(ColdStartLimit(1.5, 5.0), 9.1) == 7
+    assert coordinator_allowance(ColdStartLimit(3.0, 5.0), 9.1) == 9
 
 
 def test_gateway_that_no_directory_lists_counts_itself():
-    assert own_allowance(ColdRule(), 10.0, "t", "new", [], dealt=True) == 9
-    assert own_allowance(ColdRule(), 10.0, "t", "new", gateways(8), dealt=True) == 1
+    assert own_allowance(ColdStartLimit(), 10.0, "t", "new", [], dealt=True) == 9
+    assert own_allowance(ColdStartLimit(), 10.0, "t", "new", gateways(8), dealt=True) == 1
 
 
 def test_book_counts_a_window():
-    book = ColdBook()
+    book = RecentRequestCounter()
     for at in (0.0, 0.5, 1.0):
         book.note("t", at)
     assert book.count("t", 1.0) == 3
@@ -91,7 +91,7 @@
 def test_cold_is_the_same_moment_at_whoever_hears_of_it_later():
     registry, other = Registry(), Registry()
     registry.merge(report(1, 3.0), 10.0)
-    registry.saw("t", 11.5)
+    registry.record_seen("t", 11.5)
     record = to_record(registry.get("t"), now=12.0)
     other.merge(to_report(record), seen_at=12.0 - record.age)
     assert other.get("t").cold_until == pytest.approx(13.0)
@@ -108,7 +108,7 @@
 
 def place(gateway, number):
     request = PlaceRequest(pool="engine", request_id=f"r{number}", tokens=100, book=True)
-    return gateway.context.placing.place_here(request).identity
+    return gateway.context.placement_service.place_for_peer(request).identity
 
 
 def test_placer_gives_a_cold_engine_its_part_and_warm_ones_the_rest():
@@ -118,7 +118,7 @@
             cold = TargetReport("e-0", "engine", engines[0].address, "here", sequence=2, warming=3)
             gateway.context.board.merge(cold, clock.monotonic())
             placed = [place(gateway, number) for number in range(30)]
-            allowed = coordinator_allowance(ColdRule(), 4.0)
+            allowed = coordinator_allowance(ColdStartLimit(), 4.0)
             assert placed.count("e-0") <= allowed
             assert placed.count("e-1") == 30 - placed.count("e-0")
 
@@ -132,7 +132,7 @@
             cold = TargetReport("e-0", "engine", engines[0].address, "here", sequence=2, warming=3)
             gateway.context.board.merge(cold, clock.monotonic())
             view = gateway.context.board.view("e-0")
-            assert gateway.context.cold.may_send(view, for_all=True)
+            assert gateway.context.cold.may_send(view, as_coordinator=True)
             assert not gateway.context.cold.may_send(view)
 
     run(story())
@@ -148,7 +148,7 @@
             gateway.context.board.merge(cold, clock.monotonic())
             for _ in range(20):
                 assert (await gateway.call())[0] == 200
-            allowed = own_allowance(ColdRule(), 6.0, "p-0", "gateway-1", [], dealt=True)
+            allowed = own_allowance(ColdStartLimit(), 6.0, "p-0", "gateway-1", [], dealt=True)
             assert 0 < len(targets[0].runs) <= allowed
 
     run(story())
--- a/tests/passthrough/test_evacuation.py
+++ b/tests/passthrough/test_evacuation.py
@@ -62,7 +62,7 @@
             other = board.view("plain-there")
             other.avoid_until = clock.monotonic() + 60
             assert [v.identity for v in gateway.context.usable("plain")] == ["plain-there"]
-            other.is_misplaced = True
+            other.is_replaced = True
             assert gateway.context.usable("plain") == []
             await runners["plain", "there"].stop()
             assert (await gateway.call())[0] == 503
@@ -236,14 +236,14 @@
     async def story():
         async with site(("engine",), events=2) as (gateway, runners):
             gateway.evacuate("here")
-            placing = gateway.context.placing
+            placement_service = gateway.context.placement_service
 
             class Late:
                 async def call(self, request, timeout):
                     return PlaceReply(identity="engine-here")
 
-            placing._links.link = lambda address: Late()
+            placement_service._links.link = lambda address: Late()
             owner = type("Row", (), {"identity": "g", "rpc_address": "a"})()
-            assert await placing._ask(owner, type("R", (), {"request_id": "r"})()) is None
+            assert await placement_service._ask(owner, type("R", (), {"request_id": "r"})()) is None
 
     run(story())
--- a/tests/passthrough/test_exchange_faults.py
+++ b/tests/passthrough/test_exchange_faults.py
@@ -186,11 +186,11 @@
 
 
 def test_budget_bounds_what_is_sent_again():
-    from traystall.passthrough.admission.budget import BudgetRule
+    from traystall.passthrough.admission.budget import RepeatBudgetRule
 
     async def play():
         runners = [await Runner(f"r-{i}", faults=["failed"] * 100).start() for i in range(2)]
-        rule = BudgetRule(ratio=0.2, slack=0)
+        rule = RepeatBudgetRule(ratio=0.2, slack=0)
         try:
             pools = [("plain", runner) for runner in runners]
             async with EmulatedGateway(table(), pools, budget=rule) as gateway:
--- a/tests/passthrough/test_limited_targets.py
+++ b/tests/passthrough/test_limited_targets.py
@@ -215,7 +215,7 @@
                 await asyncio.sleep(0.05)
                 opening.cancel()
                 await asyncio.gather(opening, return_exceptions=True)
-            assert gateway.context.permits.lent(view.report.life) == 1
+            assert gateway.context.permits.granted_count(view.report.life) == 1
         await limited.stop()
 
     run(story())
@@ -251,7 +251,9 @@
     run(story())
 
 
-def heard(gateway, status=200, limit=None, sent_at=0.0, is_work=True, answered="r", asked="r"):
+def on_response_head(
+    gateway, status=200, limit=None, sent_at=0.0, is_work=True, answered="r", asked="r"
+):
     """Let a gateway hear the head of an answer of plain-0."""
     view = gateway.context.board.view("plain-0")
     connection = TargetConnection()
@@ -259,7 +261,7 @@
     names = gateway.names
     headers = [(names.request_id.encode(), answered.encode())] if answered else []
     headers += [(names.limit.encode(), limit.encode())] if limit else []
-    gateway.context.asking.heard(view, connection, ResponseHead(status, headers))
+    gateway.context.notices.on_response_head(view, connection, ResponseHead(status, headers))
     return view.limit.per_second
 
 
@@ -267,16 +269,20 @@
     async def story():
         (target,) = await start("plain", 1)
         async with EmulatedGateway(table(), [("plain", target)]) as gateway:
-            assert heard(gateway, limit="2", sent_at=10.0) == 2.0
-            assert heard(gateway, sent_at=9.0) == 2.0  # A slow answer to an older request.
-            assert heard(gateway, sent_at=11.0, is_work=False) == 2.0
-            assert heard(gateway, sent_at=11.0, status=500) == 2.0
-            assert heard(gateway, sent_at=11.0, status=503) == 2.0
-            assert heard(gateway, sent_at=11.0, status=421) == 2.0  # Another life.
-            assert heard(gateway, sent_at=11.0, answered="another") == 2.0
-            assert heard(gateway, sent_at=11.0, limit="x") == 2.0
-            assert heard(gateway, sent_at=11.0) is None
-            assert heard(gateway, sent_at=12.0, limit="3", status=503, is_work=False) == 3.0
+            assert on_response_head(gateway, limit="2", sent_at=10.0) == 2.0
+            assert (
+                on_response_head(gateway, sent_at=9.0) == 2.0
+            )  # A slow answer to an older request.
+            assert on_response_head(gateway, sent_at=11.0, is_work=False) == 2.0
+            assert on_response_head(gateway, sent_at=11.0, status=500) == 2.0
+            assert on_response_head(gateway, sent_at=11.0, status=503) == 2.0
+            assert on_response_head(gateway, sent_at=11.0, status=421) == 2.0  # Another life.
+            assert on_response_head(gateway, sent_at=11.0, answered="another") == 2.0
+            assert on_response_head(gateway, sent_at=11.0, limit="x") == 2.0
+            assert on_response_head(gateway, sent_at=11.0) is None
+            assert (
+                on_response_head(gateway, sent_at=12.0, limit="3", status=503, is_work=False) == 3.0
+            )
         await target.stop()
 
     run(story())
--- a/tests/passthrough/test_streams.py
+++ b/tests/passthrough/test_streams.py
@@ -8,7 +8,7 @@
 from tests.support.emulator.gateway import STAGES, EmulatedGateway, run, table
 from tests.support.emulator.runner import Runner
 from traystall.passthrough.entry.events import EventSplitter, event_id, follows, is_next
-from traystall.passthrough.stages.cells import WHOLE
+from traystall.passthrough.stages.cells import WHOLE_SYSTEM
 
 
 def whole(count):
@@ -224,13 +224,13 @@
             async with EmulatedGateway(routing, [("batches", worker)]) as gateway:
                 headers = {"Traystall-Pieces": "1,1", "Traystall-Piece-Key": "pk"}
                 status, _, _ = await gateway.call("/staged/x", **headers)
-                return status, gateway.context.batcher._book(WHOLE)
+                return status, gateway.context.batcher._book(WHOLE_SYSTEM)
         finally:
             await worker.stop()
 
     status, book = run(play())
     assert status == 503
-    assert book.to_come("batches", 9) == 0
+    assert book.expected_pieces("batches", 9) == 0
 
 
 def test_workers_that_are_full_for_a_while_are_asked_again():
--- a/tests/quarantine/test_guard.py
+++ b/tests/quarantine/test_guard.py
@@ -7,7 +7,7 @@
 from tests.support.suspects import KEY, LocalLeader
 from traystall.quarantine import guard as guard_module
 from traystall.quarantine.digests import make_key, request_digest
-from traystall.quarantine.ends import WatchedTarget
+from traystall.quarantine.ends import TargetIncarnation
 from traystall.quarantine.guard import GuardedRun
 from traystall.quarantine.wire import to_wire
 
@@ -56,7 +56,7 @@
             run = new_run()
             assert (await guards[0].admit(run, 0.1)).may_send
             guards[0].served(run)
-            guards[0].over(run)
+            guards[0].on_finished(run)
 
     run_scenario(scenario)
 
@@ -125,7 +125,7 @@
         await end_three(guards)
         trial = new_run()
         await guards[0].admit(trial, 0.1)
-        guards[0].over(trial)
+        guards[0].on_finished(trial)
         await wait_for_reports()
         assert (await guards[1].admit(new_run(), 0.0)).may_send
 
@@ -142,7 +142,7 @@
         assert (await guards[0].admit(trial, 0.1)).may_send
         assert not (await guards[0].admit(new_run(), 0.1)).may_send
         guards[0].ended(trial, "engine", "life-of-trial", "refused")
-        guards[0].over(trial)
+        guards[0].on_finished(trial)
         admission = await guards[0].admit(new_run(), 0.1)
         assert (admission.may_send, admission.retry_after) == (False, 1.0)
         assert (await guards[0].admit(new_run(b"another"), 0.1)).may_send
@@ -164,7 +164,7 @@
         trial = new_run()
         assert (await guards[0].admit(trial, 0.1)).may_send
         guards[0].served(trial)
-        guards[0].over(trial)
+        guards[0].on_finished(trial)
         for _ in range(3):
             assert (await guards[0].admit(new_run(), 0.1)).may_send
 
@@ -217,9 +217,9 @@
     """The bodies of 512 abandoned runs of 4 MiB would take two gigabytes."""
 
     async def scenario(leader, guards):
-        for handle in (guards[0].ends.on_broken, guards[0].ends.on_left):
+        for handle in (guards[0].ends.on_connection_broken, guards[0].ends.on_run_abandoned):
             run = new_run(bytes(100_000))
-            handle(WatchedTarget("life", "127.0.0.1:1", "engine"), run)
+            handle(TargetIncarnation("life", "127.0.0.1:1", "engine"), run)
             assert run._body == b""
         guards[0].ends.close()
 
@@ -242,7 +242,7 @@
 @pytest.mark.parametrize("is_supported", [False, True])
 def test_reports_wait_until_all_control_daemons_support_them(is_supported):
     async def scenario(leader, guards):
-        guards[0].all_tell = lambda: is_supported
+        guards[0].daemons_support_suspects = lambda: is_supported
         await end_three(guards[:1])
         assert (len(leader.table) == 1) is is_supported
 
--- a/tests/quarantine/test_state.py
+++ b/tests/quarantine/test_state.py
@@ -5,14 +5,14 @@
 from hypothesis import strategies as st
 
 from traystall.quarantine.models import (
-    MOST_TRIALS,
+    MAX_TRIALS,
     TRIAL_MIN_ENDS,
     TRIAL_SECONDS,
     BeginTrial,
     EndedRun,
-    Event,
     LiftSuspect,
     ReportRuns,
+    SuspectEvent,
     Verdict,
 )
 from traystall.quarantine.state import (
@@ -68,10 +68,10 @@
 
 def test_trials_without_outcome_are_counted():
     table = suspected()
-    for number in range(MOST_TRIALS):
+    for number in range(MAX_TRIALS):
         time = number * (TRIAL_SECONDS + 1)
         assert ask(table, f"t-{number}", time=time).verdict is Verdict.TRIAL
-    assert ask(table, "late", time=TRIAL_SECONDS * (MOST_TRIALS + 2)).verdict is Verdict.REFUSED
+    assert ask(table, "late", time=TRIAL_SECONDS * (MAX_TRIALS + 2)).verdict is Verdict.REFUSED
 
 
 def test_pool_has_one_trial_at_a_time():
@@ -96,8 +96,8 @@
 
 def test_complete_response_clears_a_request():
     table = suspected()
-    news = report(table, served=[POISON])
-    assert [one.event for one in news] == [Event.CLEARED]
+    updates = report(table, served=[POISON])
+    assert [one.event for one in updates] == [SuspectEvent.CLEARED]
     assert ask(table).verdict is Verdict.FREE
     assert len(table) == 0
 
@@ -109,10 +109,10 @@
         report(table, end(f"life-{number}"), end(f"life-{number}", BYSTANDER))
     report(table, end("another-life", b"elsewhere"))
     ask(table)
-    news = report(table, end("life-of-trial", trial="t-1"))
-    assert {(one.event, one.digest) for one in news} >= {
-        (Event.REFUSED, POISON),
-        (Event.CLEARED, BYSTANDER),
+    updates = report(table, end("life-of-trial", trial="t-1"))
+    assert {(one.event, one.digest) for one in updates} >= {
+        (SuspectEvent.REFUSED, POISON),
+        (SuspectEvent.CLEARED, BYSTANDER),
     }
     assert table.get(BYSTANDER) is None
     assert table.get(b"elsewhere").ends == 1
@@ -167,8 +167,8 @@
 
 def test_operator_lifts_a_suspect():
     table = refused()
-    news = table.lift(LiftSuspect(POISON, "eva", 1.0))
-    assert [(one.event, one.why) for one in news] == [(Event.CLEARED, "lifted by eva")]
+    updates = table.lift(LiftSuspect(POISON, "eva", 1.0))
+    assert [(one.event, one.why) for one in updates] == [(SuspectEvent.CLEARED, "lifted by eva")]
     assert ask(table).verdict is Verdict.FREE
     assert table.lift(LiftSuspect(POISON, "eva", 1.0)) == []
 
--- a/tests/registry/test_ages.py
+++ b/tests/registry/test_ages.py
@@ -7,7 +7,7 @@
 from benchmarks.registry import measure
 from traystall.core import clock
 from traystall.registry.models import TargetReport
-from traystall.registry.service import AGES_INTERVAL_SECONDS, WATCH_HOLD, RegistryService
+from traystall.registry.service import AGES_INTERVAL_SECONDS, WATCH_HOLD_SECONDS, RegistryService
 from traystall.rpc.gen.wire.ttypes import RegistryRequest
 
 # Delay that other tests on the same machine may add.
@@ -40,7 +40,7 @@
         began = clock.monotonic()
         watching = asyncio.create_task(service.watch(request))
         if changes:
-            await asyncio.sleep(WATCH_HOLD / 10)
+            await asyncio.sleep(WATCH_HOLD_SECONDS / 10)
             service.report(TargetReport("u", "p", "x:2"))
         return await watching, clock.monotonic() - began
 
@@ -50,19 +50,19 @@
 @pytest.mark.parametrize("ages_age", [None, AGES_INTERVAL_SECONDS * 0.95])
 def test_change_is_sent_with_ages_that_are_unknown_or_due(ages_age):
     reply, seconds = watch_one_target(True, ages_told=ages_age)
-    assert "t" in reply.ages and seconds < WATCH_HOLD / 10 + _SLACK_SECONDS
+    assert "t" in reply.ages and seconds < WATCH_HOLD_SECONDS / 10 + _SLACK_SECONDS
 
 
 def test_change_is_sent_at_once_without_recent_ages():
     reply, seconds = watch_one_target(True, ages_told=0.1)
-    assert reply.ages is None and seconds < WATCH_HOLD / 10 + _SLACK_SECONDS
+    assert reply.ages is None and seconds < WATCH_HOLD_SECONDS / 10 + _SLACK_SECONDS
     assert [record.identity for record in reply.targets] == ["u"]
 
 
 @pytest.mark.parametrize(
     ("ages_age", "expected"),
     [
-        (None, WATCH_HOLD),
+        (None, WATCH_HOLD_SECONDS),
         (0.0, AGES_INTERVAL_SECONDS),
         (0.6, AGES_INTERVAL_SECONDS - 0.6),
         (7.0, 0.0),
--- a/tests/registry/test_watch.py
+++ b/tests/registry/test_watch.py
@@ -8,7 +8,7 @@
 from traystall.quarantine.state import SuspectTable
 from traystall.registry.follower import RegistryFollower
 from traystall.registry.models import RegisteredState, TargetReport
-from traystall.registry.service import WATCH_HOLD, RegistryService
+from traystall.registry.service import WATCH_HOLD_SECONDS, RegistryService
 from traystall.rpc.client import LinkIdentity, LinkPool
 from traystall.rpc.gen.wire.ttypes import RegistryReply, RegistryRequest
 from traystall.rpc.server import RpcServer
@@ -36,7 +36,7 @@
         await asyncio.sleep(0)
         number.number = 4
         service.on_applied()
-        async with asyncio.timeout(WATCH_HOLD / 2):
+        async with asyncio.timeout(WATCH_HOLD_SECONDS / 2):
             assert (await waiting).number == 4
 
     asyncio.run(scenario())
@@ -82,7 +82,9 @@
         seen, received_revisions = [], []
         follower.number = lambda: 3
         follower.merge = lambda report, seen_at: seen.append(report.state)
-        follower.on_number = lambda number, address: received_revisions.append((number, address))
+        follower.on_newer_revision = lambda number, address: received_revisions.append(
+            (number, address)
+        )
         task = asyncio.create_task(follower.follow_forever())
         async with asyncio.timeout(5):
             while not seen:
@@ -119,14 +121,14 @@
         links = LinkPool(LinkIdentity("c", "gateway", "g"))
         follower = RegistryFollower(links, "g", lambda: [f"127.0.0.1:{port}"])
         follower.number = lambda: 3
-        follower.on_number = lambda number, address: received_revisions.append(number)
+        follower.on_newer_revision = lambda number, address: received_revisions.append(number)
         task = asyncio.create_task(follower.follow_forever())
-        await asyncio.sleep(1.5 * WATCH_HOLD)
+        await asyncio.sleep(1.5 * WATCH_HOLD_SECONDS)
         task.cancel()
         await server.stop()
         await links.close()
         assert received_revisions and len(replies) <= 2
-        assert follower.newest_number == 4
+        assert follower.newest_revision == 4
 
     asyncio.run(scenario())
 
@@ -151,10 +153,10 @@
         seen = set()
         async with asyncio.timeout(10):
             while not {9, 3} <= seen:
-                seen.add(follower.newest_number)
+                seen.add(follower.newest_revision)
                 await asyncio.sleep(0)
         following.cancel()
-        assert follower.newest_number == 3
+        assert follower.newest_revision == 3
 
     asyncio.run(scenario())
 
@@ -177,7 +179,7 @@
         await asyncio.sleep(0)
         suspects.report(ReportRuns((end("life-1"), end("life-2")), (), (), 1.0))
         service.on_applied()
-        async with asyncio.timeout(WATCH_HOLD / 2):
+        async with asyncio.timeout(WATCH_HOLD_SECONDS / 2):
             update = (await waiting).suspects
         assert [(one.digest, one.ends) for one in update.changed] == [(b"digest", 2)]
         again = await watch_from(
@@ -206,6 +208,6 @@
     """That registry would close the link of a sender of unknown messages."""
     follower = RegistryFollower(None, "g", lambda: [])
     follower._supports_suspects = {"a": True, "b": True}
-    assert follower.all_tell_suspects
+    assert follower.all_support_suspects
     follower._supports_suspects["c"] = False
-    assert not follower.all_tell_suspects
+    assert not follower.all_support_suspects
--- a/traystall/evacuations/held.py
+++ b/traystall/evacuations/cache.py
@@ -4,11 +4,11 @@
 
 from traystall.core import metrics
 from traystall.core.logs import decision
-from traystall.evacuations.models import EvacuatedPlaces
+from traystall.evacuations.models import EvacuatedDataCentres
 from traystall.rpc.gen.wire.ttypes import Evacuated
 
 
-class HeldEvacuations:
+class EvacuationCache:
     """The evacuated data centres in force at a gateway; `take` ignores lower versions.
 
     A control daemon that was partitioned or has just started sends a lower version. The targets of
@@ -16,8 +16,8 @@
     """
 
     def __init__(self):
-        self.places = EvacuatedPlaces()
-        self.on_change: list[Callable[[EvacuatedPlaces, EvacuatedPlaces], None]] = []
+        self.places = EvacuatedDataCentres()
+        self.on_change: list[Callable[[EvacuatedDataCentres, EvacuatedDataCentres], None]] = []
 
     @property
     def version(self) -> int:
@@ -43,11 +43,11 @@
         return True
 
 
-def to_wire(places: EvacuatedPlaces) -> Evacuated:
+def to_wire(places: EvacuatedDataCentres) -> Evacuated:
     """Return the RPC message for evacuated data centres."""
     return Evacuated(version=places.version, data_centres=sorted(places.data_centres))
 
 
-def from_wire(message: Evacuated) -> EvacuatedPlaces:
+def from_wire(message: Evacuated) -> EvacuatedDataCentres:
     """Return the evacuated data centres in an RPC message."""
-    return EvacuatedPlaces(message.version or 0, frozenset(message.data_centres or ()))
+    return EvacuatedDataCentres(message.version or 0, frozenset(message.data_centres or ()))
--- a/traystall/evacuations/models.py
+++ b/traystall/evacuations/models.py
@@ -24,7 +24,7 @@
     since: float
 
 
-class EvacuatedPlaces(msgspec.Struct, frozen=True):
+class EvacuatedDataCentres(msgspec.Struct, frozen=True):
     """The evacuated data centres at a version; a higher version replaces the whole set."""
 
     version: int = 0
@@ -35,4 +35,4 @@
     """The result of an order: whether it changed anything, and the evacuated data centres."""
 
     changed: bool
-    places: EvacuatedPlaces
+    places: EvacuatedDataCentres
--- a/traystall/passthrough/exchange/attempt.py
+++ b/traystall/passthrough/exchange/attempt.py
@@ -57,7 +57,7 @@
 
     async def __aexit__(self, kind, error, traceback):
         connection, self._connection = self._connection, None
-        self.view.asked.on_over(self._is_first)
+        self.view.availability.on_finished(self._is_first)
         if self._permit is not None and not self.was_sent:
             self.view.permits.give_back(self._permit)
         if connection is None:
@@ -78,13 +78,15 @@
         self._require_leave("choice")
         if self.view.limit.is_limited:
             await self._take_permit(patience)
-        self._is_first = self._is_work and self.view.asked.on_sent()
+        self._is_first = self._is_work and self.view.availability.on_sent()
         self._connection = await self.view.connections.acquire(fresh_within)
 
     def send(self, data: bytes) -> None:
         """Send the request. From here on it may have run."""
         # Asked again here: a target may ask for rest while a connection to it comes up.
-        if self.view.asked.rests(clock.monotonic()) or (self._is_work and self.view.asked.leaves):
+        if self.view.availability.is_backing_off(clock.monotonic()) or (
+            self._is_work and self.view.availability.leaves
+        ):
             self._hold_back("sending")
         # So may a limit: what all gateways may send together was not asked for then.
         if not self.view.is_covered(self._permit):
@@ -109,8 +111,12 @@
     def _require_leave(self, where):
         """Raise TargetHeldBack unless what the target asked for allows this one."""
         now = clock.monotonic()
-        asked = self.view.asked
-        if not (asked.may_get_work(now) if self._is_work else not asked.rests(now)):
+        availability = self.view.availability
+        if not (
+            availability.may_send_work(now)
+            if self._is_work
+            else not availability.is_backing_off(now)
+        ):
             self._hold_back(where)
 
     def _hold_back(self, where):
@@ -129,7 +135,7 @@
             await self._connection.body(_MAX_STRAY_BYTES)
         raise NoAnswer("The answer belongs to another request.", sent=True)
 
-    async def read_whole(self) -> Answer:
+    async def read_response(self) -> Answer:
         """Return the whole answer."""
         return await self.read_whole_after(await self.read_head())
 
--- a/traystall/passthrough/exchange/failures.py
+++ b/traystall/passthrough/exchange/failures.py
@@ -8,7 +8,7 @@
 from traystall.passthrough.entry.request import PassRequest
 from traystall.passthrough.exchange.attempt import Answer
 from traystall.passthrough.exchange.connection import ResponseHead
-from traystall.systems.rests import RETRY_AFTER, rest_seconds
+from traystall.systems.retry_after import RETRY_AFTER, parse_retry_after
 
 # Less time than this, in seconds, is not enough for another attempt.
 MIN_SECONDS = 0.02
@@ -48,7 +48,7 @@
         return unreachable < _MAX_UNREACHABLE
     if passed.attempts >= passed.route.max_attempts:
         return False
-    return failure.kind is FailureKind.NOT_RUN or passed.route.may_run_again
+    return failure.kind is FailureKind.NOT_RUN or passed.route.is_safe_to_retry
 
 
 def lost_inputs(failure: Failure) -> bool:
@@ -70,5 +70,5 @@
 
     This is for want of a slot and may be overruled; a rest that it asked for is kept elsewhere.
     """
-    seconds = rest_seconds(head.get_all(RETRY_AFTER), head.get("Date"))
+    seconds = parse_retry_after(head.get_all(RETRY_AFTER), head.get("Date"))
     return min(_MAX_FULL_SECONDS, seconds) or _FULL_SECONDS
--- a/traystall/passthrough/exchange/refusals.py
+++ b/traystall/passthrough/exchange/refusals.py
@@ -42,7 +42,7 @@
 
         It is 0 where another target of its pool takes it at once, else what its aim leaves.
         """
-        if self._context.board.whole_limit(passed.pool, passed.places) is None:
+        if self._context.board.total_rate_limit(passed.pool, passed.places) is None:
             return 0.0
         aim = passed.route.aim
         slack = aim - (clock.monotonic() - passed.started) - self.usual_answer(passed)
@@ -91,7 +91,7 @@
 
         It can't be served in time, and nobody would gain by its stages or its waiting.
         """
-        rest = self._context.rest_left(passed.pool, passed.places)
+        rest = self._context.backoff_left(passed.pool, passed.places)
         if rest > self._stages_end(passed) + passed.route.aim * REST_WAIT_PART:
             raise self.resting(passed, rest)
 
--- a/traystall/passthrough/health/board.py
+++ b/traystall/passthrough/health/board.py
@@ -15,12 +15,12 @@
     TargetConnection,
 )
 from traystall.passthrough.exchange.pool import ConnectionPool
-from traystall.passthrough.health.places import DataCentreWatch
+from traystall.passthrough.health.data_centre_monitor import DataCentreMonitor
 from traystall.permits.permits import Permit, Permits
-from traystall.quarantine.ends import WatchedTarget
+from traystall.quarantine.ends import TargetIncarnation
 from traystall.registry.models import RegisteredState, TargetReport
 from traystall.registry.table import Registry
-from traystall.tables.asked import Asked
+from traystall.tables.availability import Availability
 from traystall.tables.target_limits import TargetLimit
 
 FAILURES_TO_AVOID = 2
@@ -50,13 +50,13 @@
     failures: int = 0
     avoid_until: float = float("-inf")
     avoided: int = 0
-    is_misplaced: bool = False
+    is_replaced: bool = False
     # How long it takes beside the others of its pool.
     ratio: float = 1.0
     # Until when it counts as cold: it gets little then.
     cold_until: float = float("-inf")
     # What it has asked of this gateway, and the connection on which it asked for rest.
-    asked: Asked = msgspec.field(default_factory=Asked)
+    availability: Availability = msgspec.field(default_factory=Availability)
     asked_on: TargetConnection | None = None
     # What it takes from all gateways together, who lends that, and the connection on which it was
     # named last.
@@ -67,11 +67,13 @@
     @property
     def is_ready(self) -> bool:
         """Return whether it has said nowhere that it leaves."""
-        return self.report.state is RegisteredState.READY and not self.asked.leaves
+        return self.report.state is RegisteredState.READY and not self.availability.leaves
 
-    def may_get_work(self, now: float) -> bool:
+    def may_send_work(self, now: float) -> bool:
         """Return whether new work may be sent now, by what it has asked for and reported."""
-        return self.is_ready and self.asked.may_get_work(now) and not self.limit.is_closed(now)
+        return (
+            self.is_ready and self.availability.may_send_work(now) and not self.limit.is_closed(now)
+        )
 
     def is_covered(self, permit: Permit | None) -> bool:
         """Return whether a request may be sent now by what it takes from all gateways."""
@@ -82,21 +84,21 @@
     def blocked_until(self) -> float:
         """Return when it may be asked for something again, by its rest and its limit."""
         closed = self.limit.closed_until if self.limit.is_limited else float("-inf")
-        return max(self.asked.rest_until, closed)
+        return max(self.availability.backoff_until, closed)
 
     @property
     def identity(self) -> str:
         """Return the name of this life of the target."""
         return self.report.identity
 
-    def watched(self, evidence: Callable[[], str]) -> WatchedTarget:
+    def watched(self, evidence: Callable[[], str]) -> TargetIncarnation:
         """Return what is looked into when a connection to it breaks."""
         report = self.report
-        return WatchedTarget(
+        return TargetIncarnation(
             report.life, report.address, report.pool, evidence, lambda: self.learned_at
         )
 
-    def usual_seconds(self, mean: float, now: float) -> float:
+    def expected_seconds(self, mean: float, now: float) -> float:
         """Return how long it takes; what was learned fades towards `mean`, that of its pool."""
         if not self.mean_seconds:
             return mean
@@ -132,7 +134,7 @@
     """Hold the targets of all pools, fed by the registry."""
 
     def __init__(
-        self, random, max_connections, places: DataCentreWatch, permits: Permits | None = None
+        self, random, max_connections, places: DataCentreMonitor, permits: Permits | None = None
     ):
         self.registry = Registry()
         self.places = places
@@ -158,12 +160,12 @@
             return
         row = self.registry.get(report.identity)
         view = self._views.get(report.identity)
-        asked, limit = Asked(), None
+        availability, limit = Availability(), None
         if view is not None and 0 < view.report.started < row.report.started:
             # Connections, failures and learned times belong to the life that has ended. No
             # connection outlives it: what was asked on one that is open, the new life has asked.
             is_open = view.asked_on is not None and not view.asked_on.is_closed
-            asked = view.asked.for_next_life(is_open)
+            availability = view.availability.for_next_incarnation(is_open)
             if view.limited_on is not None and not view.limited_on.is_closed:
                 limit = view.limit
             self._drop(report.identity)
@@ -174,30 +176,30 @@
                 view.report = row.report
             self._drop(report.identity)
         elif view is None:
-            self._views[report.identity] = self._make_view(row, asked, limit)
+            self._views[report.identity] = self._make_view(row, availability, limit)
         else:
             if self._permits is not None and view.report.life != row.report.life:
-                view.limit = self._permits.adopt(row.report.life, view.limit)
+                view.limit = self._permits.register_incarnation(row.report.life, view.limit)
             view.report = row.report
             view.cold_until = row.cold_until
         self._index()
 
-    def _make_view(self, row, asked, limit) -> TargetView:
+    def _make_view(self, row, availability, limit) -> TargetView:
         most = self._max_connections
         watch = ConnectionWatch(
             lambda connection: self.on_send(view, connection),
             lambda connection, head: self.on_head(view, connection, head),
         )
         pool = ConnectionPool(row.report.address, lambda: most(row.report.pool), watch)
-        view = TargetView(row.report, pool, cold_until=row.cold_until, asked=asked)
+        view = TargetView(row.report, pool, cold_until=row.cold_until, availability=availability)
         if self._permits is not None:
             view.permits = self._permits
-            view.limit = self._permits.adopt(row.report.life, limit)
+            view.limit = self._permits.register_incarnation(row.report.life, limit)
         return view
 
-    def saw(self, identity: str, seen_at: float) -> None:
+    def record_seen(self, identity: str, seen_at: float) -> None:
         """Take in that a target has reported."""
-        self.registry.saw(identity, seen_at)
+        self.registry.record_seen(identity, seen_at)
 
     def view(self, identity: str) -> TargetView | None:
         """Return one target, or None."""
@@ -207,9 +209,9 @@
         """Return the names of all targets that are known."""
         return set(self._views)
 
-    def sign_of_end(self, view: TargetView) -> str:
+    def end_evidence(self, view: TargetView) -> str:
         """Return how it shows that a life of a target has ended, or an empty string."""
-        if view.is_misplaced:
+        if view.is_replaced:
             return "another life answers at its address"
         known = self._views.get(view.identity)
         if known is not None and known is not view:
@@ -246,9 +248,9 @@
 
     def data_centres(self, name: str) -> Counter[str]:
         """Return how many targets of a pool each data centre has that is not evacuated."""
-        return Counter(view.report.data_centre for view in self.inside(name))
+        return Counter(view.report.data_centre for view in self.eligible(name))
 
-    def inside(self, name: str, places: tuple[str, ...] = ()) -> list[TargetView]:
+    def eligible(self, name: str, places: tuple[str, ...] = ()) -> list[TargetView]:
         """Return the targets of a pool in `places` (none: anywhere) that are not evacuated."""
         return [
             view
@@ -263,7 +265,7 @@
         now: float,
         registry_heard_at: float,
         places: tuple[str, ...] = (),
-        closed_too: bool = False,
+        include_closed: bool = False,
     ) -> list[TargetView]:
         """Return the targets of a pool to which work may go now, doubtful ones only if all are.
 
@@ -274,38 +276,40 @@
         """
         ready = [
             view
-            for view in self.inside(name, places)
-            if not view.is_misplaced
-            and view.asked.may_get_work(now)
-            and (closed_too or not view.limit.is_closed(now))
+            for view in self.eligible(name, places)
+            if not view.is_replaced
+            and view.availability.may_send_work(now)
+            and (include_closed or not view.limit.is_closed(now))
         ]
         sound = [view for view in ready if now >= view.avoid_until]
-        near = [view for view in sound if not self.places.is_out(view.report.data_centre, now)]
+        near = [
+            view for view in sound if not self.places.is_unreachable(view.report.data_centre, now)
+        ]
         heard = [view for view in near if not self._is_silent(view, registry_heard_at)]
         return heard or near or sound or ready
 
-    def rest_left(self, name: str, now: float, places: tuple[str, ...] = ()) -> float:
+    def backoff_left(self, name: str, now: float, places: tuple[str, ...] = ()) -> float:
         """Return how long all targets of a pool may not be asked, in seconds; 0 if one may.
 
         They rest, or others have what they take.
         """
-        found = [view for view in self.inside(name, places) if not view.is_misplaced]
+        found = [view for view in self.eligible(name, places) if not view.is_replaced]
         return max(0.0, min((view.blocked_until() - now for view in found), default=0.0))
 
-    def whole_limit(self, name: str, places: tuple[str, ...] = ()) -> float | None:
+    def total_rate_limit(self, name: str, places: tuple[str, ...] = ()) -> float | None:
         """Return what all targets of a pool take a second together, None if one names no limit."""
-        found = [view for view in self.inside(name, places) if not view.is_misplaced]
+        found = [view for view in self.eligible(name, places) if not view.is_replaced]
         if not found or not all(view.limit.is_limited for view in found):
             return None
         return sum(view.limit.per_second for view in found)
 
-    def held_back(self, name: str, now: float) -> set[str]:
+    def unavailable(self, name: str, now: float) -> set[str]:
         """Return the names of the targets of a pool that get no work from here.
 
         They rest or leave, or others have what they take.
         """
         known = [view for view in self._views.values() if view.report.pool == name]
-        return {view.identity for view in known if not view.may_get_work(now)}
+        return {view.identity for view in known if not view.may_send_work(now)}
 
     def soonest_rested(
         self, name: str, excluded: set[str], now: float, places: tuple[str, ...] = ()
@@ -318,8 +322,8 @@
         return min(
             (
                 max(0.0, view.blocked_until() - now)
-                for view in self.inside(name, places)
-                if view.identity not in excluded and not view.may_get_work(now)
+                for view in self.eligible(name, places)
+                if view.identity not in excluded and not view.may_send_work(now)
             ),
             default=float("inf"),
         )
@@ -349,7 +353,7 @@
     def on_exchange_error(self, view: TargetView, error: ExchangeError, now: float) -> None:
         """Learn from an attempt that failed on its way."""
         if error.silent:
-            self.places.on_silent(view.report.data_centre, view.identity, now)
+            self.places.on_no_response(view.report.data_centre, view.identity, now)
         if error.silent or not error.sent:
             view.on_unreachable(now, self._random)
         else:
--- a/traystall/passthrough/health/cold.py
+++ b/traystall/passthrough/health/cold.py
@@ -27,7 +27,7 @@
 _LEFT_PART = 0.2
 
 
-class ColdRule(msgspec.Struct, frozen=True):
+class ColdStartLimit(msgspec.Struct, frozen=True):
     """Allow a cold target `excess` x what its pool declares + `slack` requests in a second."""
 
     excess: float = 1.0
@@ -45,13 +45,13 @@
         return math.floor(self.bound(per_second))
 
 
-def coordinator_allowance(rule: ColdRule, per_second: float) -> int:
+def coordinator_allowance(rule: ColdStartLimit, per_second: float) -> int:
     """Return how many a gateway that acts for all may send: what the target bears, or its part."""
     return max(1, int(min(per_second, rule.whole_bound(per_second) * _COORDINATOR_PART)))
 
 
 def own_allowance(
-    rule: ColdRule, per_second: float, target: str, own: str, gateways: list[str], dealt: bool
+    rule: ColdStartLimit, per_second: float, target: str, own: str, gateways: list[str], dealt: bool
 ) -> int:
     """Return how many a gateway may send by itself; the sum over all stays within the bound.
 
@@ -66,7 +66,7 @@
     return share + (own in rendezvous_order(f"cold {target}", names)[:left])
 
 
-class ColdBook:
+class RecentRequestCounter:
     """Count what this gateway has sent to each target lately."""
 
     def __init__(self):
--- a/traystall/passthrough/health/places.py
+++ b/traystall/passthrough/health/data_centre_monitor.py
@@ -15,7 +15,7 @@
 _MAX_EXTENDED_SECONDS = 12.0
 
 
-class DataCentreWatch:
+class DataCentreMonitor:
     """Collect silent peers by data centre; the own one is never taken for cut off."""
 
     def __init__(self, own: str):
@@ -25,11 +25,11 @@
         self._times_out: dict[str, int] = {}
         self._out_since: dict[str, float] = {}
 
-    def suspected(self) -> list[str]:
+    def unreachable(self) -> list[str]:
         """Return the data centres that have been out and were not heard of since."""
         return list(self._times_out)
 
-    def extend(self, data_centre: str, now: float) -> None:
+    def extend_outage(self, data_centre: str, now: float) -> None:
         """Keep a data centre out: nobody there has answered a probe."""
         since = self._out_since.get(data_centre)
         if since is None or now - since > _MAX_EXTENDED_SECONDS:
@@ -37,9 +37,9 @@
         until = self._out_until.get(data_centre, float("-inf"))
         self._out_until[data_centre] = max(until, now + _EXTEND_SECONDS)
 
-    def on_silent(self, data_centre: str, peer: str, now: float) -> None:
+    def on_no_response(self, data_centre: str, peer: str, now: float) -> None:
         """Note that a peer did not answer at all."""
-        if data_centre == self._own or self.is_out(data_centre, now):
+        if data_centre == self._own or self.is_unreachable(data_centre, now):
             return
         peers = self._silent.setdefault(data_centre, {})
         peers[peer] = now
@@ -55,13 +55,13 @@
             self._out_since.setdefault(data_centre, now)
             peers.clear()
 
-    def on_heard(self, data_centre: str) -> None:
+    def on_response(self, data_centre: str) -> None:
         """Note that a peer answered: its data centre is there."""
         self._silent.pop(data_centre, None)
         self._out_until.pop(data_centre, None)
         self._times_out.pop(data_centre, None)
         self._out_since.pop(data_centre, None)
 
-    def is_out(self, data_centre: str, now: float) -> bool:
+    def is_unreachable(self, data_centre: str, now: float) -> bool:
         """Return whether a data centre is taken for cut off."""
         return now < self._out_until.get(data_centre, float("-inf"))
--- a/traystall/passthrough/health/asking.py
+++ b/traystall/passthrough/health/notices.py
@@ -7,8 +7,8 @@
 from traystall.passthrough.dialect import HeaderNames
 from traystall.passthrough.exchange.connection import ResponseHead, TargetConnection
 from traystall.passthrough.health.board import TargetView
-from traystall.systems.rests import RETRY_AFTER, TURNED_AWAY, rest_seconds
-from traystall.systems.target_limits import read_limit
+from traystall.systems.retry_after import RETRY_AFTER, SERVICE_UNAVAILABLE, parse_retry_after
+from traystall.systems.target_limits import parse_limit
 
 # Another life answers so; what it says is not said of the one that was asked.
 _MISDIRECTED = 421
@@ -18,7 +18,7 @@
 _LOGGED_CHARACTERS = 40
 
 
-class AskingWatch:
+class TargetNoticeMonitor:
     """Take in the head of every answer of every target, and log when a rest or a leave begins.
 
     `on_leaving()` is called when a target has said that it leaves.
@@ -30,23 +30,25 @@
         # Those that rest, until that is logged as over.
         self._resting: dict[str, TargetView] = {}
 
-    def heard(self, view: TargetView, connection: TargetConnection, head: ResponseHead) -> None:
+    def on_response_head(
+        self, view: TargetView, connection: TargetConnection, head: ResponseHead
+    ) -> None:
         """Take in the head of an answer."""
         if head.status == _MISDIRECTED:
             return
-        values = head.get_all(RETRY_AFTER) if head.status == TURNED_AWAY else []
-        seconds = rest_seconds(values, head.get("Date")) if values else 0.0
+        values = head.get_all(RETRY_AFTER) if head.status == SERVICE_UNAVAILABLE else []
+        seconds = parse_retry_after(values, head.get("Date")) if values else 0.0
         if seconds:
             self._rest(view, connection, head, seconds, values)
         elif head.status < _FAILURES:
-            view.asked.on_answer(clock.monotonic())
+            view.availability.on_answer(clock.monotonic())
         self._hear_limit(view, connection, head)
-        if head.get(self._names.leaving) not in (None, "", "0") and not view.asked.leaves:
+        if head.get(self._names.leaving) not in (None, "", "0") and not view.availability.leaves:
             self._leave(view, head)
 
-    def sent(self, view: TargetView, connection: TargetConnection) -> None:
+    def on_request_sent(self, view: TargetView, connection: TargetConnection) -> None:
         """Count what is sent against the word of a target, whoever sends it: nothing should be."""
-        if view.asked.rests(clock.monotonic()):
+        if view.availability.is_backing_off(clock.monotonic()):
             metrics.sent_in_rest_total.inc({"pool": view.report.pool})
         if view.limit.is_limited and not connection.sending.is_covered:
             metrics.sent_beyond_limit_total.inc({"pool": view.report.pool})
@@ -55,11 +57,11 @@
         """Log the rests that are over, and publish how many targets rest and leave."""
         now = clock.monotonic()
         for life, view in list(self._resting.items()):
-            if not view.asked.rests(now):
+            if not view.availability.is_backing_off(now):
                 del self._resting[life]
                 decision("target-rested", target=life, pool=view.report.pool)
         metrics.resting_targets.set({}, len(self._resting))
-        metrics.leaving_targets.set({}, sum(view.asked.leaves for view in views))
+        metrics.leaving_targets.set({}, sum(view.availability.leaves for view in views))
 
     def _hear_limit(self, view, connection, head):
         """Take in whether an answer names a limit for all gateways together.
@@ -69,9 +71,9 @@
         if view.permits is None:
             return
         values = head.get_all(self._names.limit)
-        if not values and not view.limit.was_named:
+        if not values and not view.limit.has_been_limited:
             return
-        word = read_limit(values)
+        word = parse_limit(values)
         if word is None:
             return
         sending = connection.sending
@@ -83,13 +85,13 @@
             return
         if word.per_second is not None:
             view.limited_on = connection
-        view.permits.hear(view.report.life, word, sending.sent_at, answered or "")
+        view.permits.observe_answer(view.report.life, word, sending.sent_at, answered or "")
 
     def _rest(self, view, connection, head, seconds, values):
         request = self._request_of(head)
         now = clock.monotonic()
-        was_resting = view.asked.rests(now)
-        if not view.asked.ask_rest(seconds, request, now):
+        was_resting = view.availability.is_backing_off(now)
+        if not view.availability.request_backoff(seconds, request, now):
             return
         view.asked_on = connection
         self._resting[view.report.life] = view
@@ -105,7 +107,7 @@
             )
 
     def _leave(self, view, head):
-        view.asked.leaves = True
+        view.availability.leaves = True
         decision(
             "target-leaves",
             target=view.report.life,
--- a/traystall/passthrough/health/probing.py
+++ b/traystall/passthrough/health/probing.py
@@ -18,7 +18,7 @@
 _PEERS = 2
 
 
-class PlaceProber:
+class DataCentreProber:
     """Ask gateways of each data centre that is out whether they are there."""
 
     def __init__(self, context: PassContext, links: LinkPool):
@@ -29,7 +29,7 @@
         """Ask again and again."""
         while True:
             await asyncio.sleep(_PROBE_SECONDS)
-            for data_centre in self._context.places.suspected():
+            for data_centre in self._context.places.unreachable():
                 await self.probe(data_centre)
 
     async def probe(self, data_centre: str) -> None:
@@ -42,10 +42,10 @@
         chosen = self._context.random.sample(rows, min(_PEERS, len(rows)))
         heard = await asyncio.gather(*(self._ping(row.rpc_address) for row in chosen))
         if any(heard):
-            self._context.places.on_heard(data_centre)
+            self._context.places.on_response(data_centre)
             decision("data-centre-heard", of=data_centre)
         elif chosen:
-            self._context.places.extend(data_centre, clock.monotonic())
+            self._context.places.extend_outage(data_centre, clock.monotonic())
 
     async def _ping(self, address) -> bool:
         request = PingRequest(sender=self._context.identity)
--- a/traystall/quarantine/held.py
+++ b/traystall/quarantine/cache.py
@@ -26,7 +26,7 @@
         return self.ends >= TRIAL_MIN_ENDS or self.refused_until > float("-inf")
 
 
-class HeldSuspects:
+class SuspectCache:
     """The suspects in force at a gateway; `take` ignores versions below the current one.
 
     A control daemon that was partitioned or has just started sends a lower version. A refused
--- a/traystall/quarantine/ends.py
+++ b/traystall/quarantine/ends.py
@@ -37,12 +37,12 @@
 _MAX_ENDS_KEPT = 200
 # Limit of the runs that are counted for one end. Engines run some dozens at once.
 _MAX_RUNS_PER_TARGET = 512
-REFUSED = "nothing listens at its address"
+NOT_LISTENING = "nothing listens at its address"
 
 logger = logging.getLogger(__name__)
 
 
-class WatchedTarget(msgspec.Struct, frozen=True):
+class TargetIncarnation(msgspec.Struct, frozen=True):
     """One incarnation of a target, with callables to check on it.
 
     `evidence()` returns other evidence of its end, or an empty string. `answered_at()` returns when
@@ -62,7 +62,7 @@
     `since` is the time of the last break, `due` holds the times of the remaining probes.
     """
 
-    target: WatchedTarget
+    target: TargetIncarnation
     since: float
     due: list[float]
     runs: list[tuple[float, object]]
@@ -82,7 +82,7 @@
         self._abandoned: dict[str, deque] = {}
         self._check_tasks: set[asyncio.Task] = set()
 
-    def on_broken(self, target: WatchedTarget, run) -> None:
+    def on_connection_broken(self, target: TargetIncarnation, run) -> None:
         """Handle a broken connection of a run; the target is checked in the background."""
         run.is_end_pending = True
         self._guard.name(run)
@@ -102,9 +102,9 @@
         check.runs = [(at, run) for at, run in check.runs if at >= proven_alive_at]
         for run in cleared:
             run.is_end_pending = False
-            self._guard.over(run)
+            self._guard.on_finished(run)
 
-    def on_left(self, target: WatchedTarget, run) -> None:
+    def on_run_abandoned(self, target: TargetIncarnation, run) -> None:
         """Remember an abandoned run; a target that ends right after may still have run it."""
         now = clock.monotonic()
         self._guard.name(run)
@@ -116,12 +116,12 @@
             if not runs:
                 del self._abandoned[life]
 
-    def on_refused(self, target: WatchedTarget) -> None:
+    def on_connection_refused(self, target: TargetIncarnation) -> None:
         """Check a target that refused a connection, if a run was abandoned there recently."""
         if target.life in self._abandoned and not self._has_ended(target):
             self._start_check(target)
 
-    async def has_ended(self, target: WatchedTarget) -> bool:
+    async def has_ended(self, target: TargetIncarnation) -> bool:
         """Return within about 0.1 s whether a target whose connection just broke has ended."""
         check = _EndCheck(target, clock.monotonic(), [], [])
         for wait in _PROBE_DELAYS_SECONDS[:2]:
@@ -129,7 +129,7 @@
                 break
             await asyncio.sleep(check.since + wait - clock.monotonic())
             if await self._probe(check):
-                self._record_end(check, REFUSED)
+                self._record_end(check, NOT_LISTENING)
         return self._has_ended(target)
 
     def close(self) -> None:
@@ -169,7 +169,7 @@
         decision("target-goes-on", target=check.target.life, runs=len(check.runs))
         for _, run in check.runs:
             run.is_end_pending = False
-            self._guard.over(run)
+            self._guard.on_finished(run)
 
     async def _wait_for_evidence(self, check) -> str:
         while (now := clock.monotonic()) - check.since < _CHECK_SECONDS:
@@ -180,7 +180,7 @@
                 check.probed_at = now
                 check.due = [at for at in check.due if at > now]
                 if await self._probe(check):
-                    return REFUSED
+                    return NOT_LISTENING
             if found := check.target.evidence():
                 return found
             wait = check.due[0] - now if check.due else _CHECK_INTERVAL_SECONDS
--- a/traystall/quarantine/guard.py
+++ b/traystall/quarantine/guard.py
@@ -6,9 +6,9 @@
 from traystall.core.exceptions import RpcError
 from traystall.core.ids import new_id
 from traystall.core.logs import decision
+from traystall.quarantine.cache import CachedSuspect, SuspectCache
 from traystall.quarantine.digests import request_digest
 from traystall.quarantine.ends import EndDetector
-from traystall.quarantine.held import CachedSuspect, HeldSuspects
 from traystall.quarantine.local import LocalTrials
 from traystall.quarantine.models import TRIAL_MIN_ENDS, Verdict
 from traystall.quarantine.reports import RunReporter
@@ -65,11 +65,11 @@
     """
 
     def __init__(self, key: bytes, leader: LeaderLink):
-        self.held = HeldSuspects()
+        self.held = SuspectCache()
         self.reports = RunReporter(leader, self._can_report)
         self.ends = EndDetector(self)
         # Returns whether all control daemons in contact support suspects.
-        self.all_tell = lambda: self.held.is_initialized
+        self.daemons_support_suspects = lambda: self.held.is_initialized
         self._key = key
         self._leader = leader
         self._local = LocalTrials()
@@ -128,12 +128,12 @@
         if suspect is not None:
             self.reports.add_served(digest)
 
-    def over(self, run: GuardedRun) -> None:
+    def on_finished(self, run: GuardedRun) -> None:
         """Record that a request has finished, and with it its trial, if it was one."""
         if not run.trial:
             return
         if run.is_local:
-            self._local.over(run.digest(self._key))
+            self._local.on_finished(run.digest(self._key))
         elif not run.is_end_pending:
             self.reports.add_released(run.trial)
 
@@ -187,4 +187,4 @@
         return self.reports.unreported_ends(run.digest(self._key))
 
     def _can_report(self) -> bool:
-        return self.held.is_initialized and self.all_tell()
+        return self.held.is_initialized and self.daemons_support_suspects()
--- a/traystall/quarantine/local.py
+++ b/traystall/quarantine/local.py
@@ -52,7 +52,7 @@
         if found is not None:
             found.cleared_ends = ends
 
-    def over(self, digest: bytes) -> None:
+    def on_finished(self, digest: bytes) -> None:
         """Record that a trial has finished."""
         found = self._trials.get(digest)
         if found is not None:
--- a/traystall/quarantine/models.py
+++ b/traystall/quarantine/models.py
@@ -14,7 +14,7 @@
 TRIAL_MIN_ENDS = 3
 # Trials without a complete response before a request is refused. Including one arrival at a gateway
 # that has not been notified yet, at most three more targets end after the first three.
-MOST_TRIALS = 2
+MAX_TRIALS = 2
 # A trial expires after this time if its gateway reports no outcome. Most responses take less.
 TRIAL_SECONDS = 15.0
 
@@ -73,7 +73,7 @@
     REFUSED = "refused"
 
 
-class Event(StrEnum):
+class SuspectEvent(StrEnum):
     """A change of a suspect that is logged."""
 
     SUSPECTED = "suspected"
@@ -81,10 +81,10 @@
     CLEARED = "cleared"
 
 
-class SuspectNews(msgspec.Struct, frozen=True):
+class SuspectUpdate(msgspec.Struct, frozen=True):
     """A change of a suspect with its reason; `age` is the seconds since the suspect was added."""
 
-    event: Event
+    event: SuspectEvent
     digest: bytes
     customer: str
     route: str
@@ -98,7 +98,7 @@
 
     verdict: Verdict
     seconds: float = 0.0
-    news: tuple[SuspectNews, ...] = ()
+    updates: tuple[SuspectUpdate, ...] = ()
 
 
 class Suspect(msgspec.Struct):
--- a/traystall/quarantine/state.py
+++ b/traystall/quarantine/state.py
@@ -13,16 +13,16 @@
 
 from traystall.core.serialization import pack, unpack
 from traystall.quarantine.models import (
-    MOST_TRIALS,
+    MAX_TRIALS,
     TRIAL_MIN_ENDS,
     TRIAL_SECONDS,
     BeginTrial,
     EndedRun,
-    Event,
     LiftSuspect,
     ReportRuns,
     Suspect,
-    SuspectNews,
+    SuspectEvent,
+    SuspectUpdate,
     TrialResult,
     Verdict,
 )
@@ -108,20 +108,20 @@
 
     # ---- commands ----
 
-    def report(self, command: ReportRuns) -> list[SuspectNews]:
+    def report(self, command: ReportRuns) -> list[SuspectUpdate]:
         """Apply the outcomes of runs; return the resulting changes of suspects."""
         self._advance(command.time)
-        news: list[SuspectNews] = []
+        updates: list[SuspectUpdate] = []
         for ended in command.ended:
-            self._count_end(ended, news)
+            self._count_end(ended, updates)
         for digest in command.served:
             row = self._suspects.get(digest)
             if row is not None:
-                self._clear(row, "it received a complete response", news)
+                self._clear(row, "it received a complete response", updates)
         for row in self._suspects.values() if command.released else ():
             if row.trial in command.released:
                 _end_trial(row)
-        return news
+        return updates
 
     def begin_trial(self, command: BeginTrial) -> TrialResult:
         """Decide whether a request may be sent now; a pool has at most one trial at a time."""
@@ -133,26 +133,26 @@
             return TrialResult(Verdict.REFUSED, self.refused_seconds(row))
         if row.refused_at is not None:
             # The refusal has expired: one trial shows whether the request still ends targets.
-            row.refused_at, row.trials = None, MOST_TRIALS - 1
+            row.refused_at, row.trials = None, MAX_TRIALS - 1
             self._record_change(row)
         if self._has_running_trial(row.pool):
             return TrialResult(Verdict.WAIT)
-        if row.trials >= MOST_TRIALS:
-            news: list[SuspectNews] = []
-            self._refuse(row, "its trials ended without a complete response", news)
-            return TrialResult(Verdict.REFUSED, REFUSAL_SECONDS, tuple(news))
+        if row.trials >= MAX_TRIALS:
+            updates: list[SuspectUpdate] = []
+            self._refuse(row, "its trials ended without a complete response", updates)
+            return TrialResult(Verdict.REFUSED, REFUSAL_SECONDS, tuple(updates))
         row.trials += 1
         row.trial, row.trial_until = command.trial, self.time + TRIAL_SECONDS
         return TrialResult(Verdict.TRIAL)
 
-    def lift(self, command: LiftSuspect) -> list[SuspectNews]:
+    def lift(self, command: LiftSuspect) -> list[SuspectUpdate]:
         """Remove the suspect of a request; return the change, or none if it was no suspect."""
         self._advance(command.time)
-        news: list[SuspectNews] = []
+        updates: list[SuspectUpdate] = []
         row = self._suspects.get(command.digest)
         if row is not None:
-            self._clear(row, f"lifted by {command.operator}", news)
-        return news
+            self._clear(row, f"lifted by {command.operator}", updates)
+        return updates
 
     # ---- snapshots ----
 
@@ -171,44 +171,46 @@
 
     # ---- steps ----
 
-    def _count_end(self, ended: EndedRun, news):
+    def _count_end(self, ended: EndedRun, updates):
         row = self._suspects.get(ended.digest) or self._add(ended)
         if ended.life not in row.lives:
             row.lives = [*row.lives, ended.life][-_MAX_LIVES_PER_SUSPECT:]
             row.last, row.pool, row.evidence = self.time, ended.pool, ended.evidence
             if row.is_published:
                 self._record_change(row)
-                news.append(self._make_update(Event.SUSPECTED, row, ended.evidence))
+                updates.append(self._make_update(SuspectEvent.SUSPECTED, row, ended.evidence))
         if ended.trial and ended.trial == row.trial and row.refused_at is None:
-            self._refuse(row, f"its trial ended {ended.life}", news)
+            self._refuse(row, f"its trial ended {ended.life}", updates)
 
-    def _refuse(self, row, why, news):
+    def _refuse(self, row, why, updates):
         row.refused_at = self.time
         _end_trial(row)
         self._record_change(row)
-        news.append(self._make_update(Event.REFUSED, row, why))
+        updates.append(self._make_update(SuspectEvent.REFUSED, row, why))
         explained = set(row.lives)
         for other in list(self._suspects.values()):
             if other.refused_at is None and not explained.isdisjoint(other.lives):
-                self._remove_explained_ends(other, explained, news)
+                self._remove_explained_ends(other, explained, updates)
 
-    def _remove_explained_ends(self, row, explained, news):
+    def _remove_explained_ends(self, row, explained, updates):
         """Remove the ends that a refused request explains from another suspect."""
         was_published = row.is_published
         row.lives = [life for life in row.lives if life not in explained]
         if was_published and not row.is_published:
             self._record_removal(row.digest)
-            news.append(
-                self._make_update(Event.CLEARED, row, "its ends are explained by another request")
+            updates.append(
+                self._make_update(
+                    SuspectEvent.CLEARED, row, "its ends are explained by another request"
+                )
             )
         elif was_published:
             self._record_change(row)
         if not row.lives:
             del self._suspects[row.digest]
 
-    def _clear(self, row, why, news):
+    def _clear(self, row, why, updates):
         if row.is_published:
-            news.append(self._make_update(Event.CLEARED, row, why))
+            updates.append(self._make_update(SuspectEvent.CLEARED, row, why))
         self._remove(row)
 
     def _add(self, ended) -> Suspect:
@@ -274,9 +276,9 @@
             if self.time - row.last > limit:
                 self._remove(row)
 
-    def _make_update(self, event, row, why) -> SuspectNews:
+    def _make_update(self, event, row, why) -> SuspectUpdate:
         age = self.time - row.since
-        return SuspectNews(event, row.digest, row.customer, row.route, row.ends, why, age)
+        return SuspectUpdate(event, row.digest, row.customer, row.route, row.ends, why, age)
 
 
 def _end_trial(row):
--- a/traystall/registry/follower.py
+++ b/traystall/registry/follower.py
@@ -12,7 +12,7 @@
 
 from traystall.core import clock
 from traystall.core.exceptions import RpcError
-from traystall.quarantine.held import HeldSuspects
+from traystall.quarantine.cache import SuspectCache
 from traystall.registry.records import to_report
 from traystall.rpc.client import LinkPool
 from traystall.rpc.gen.wire.ttypes import RegistryReply, RegistryRequest
@@ -40,13 +40,13 @@
 
     def __init__(self, links: LinkPool, sender: str, addresses: Callable[[], list[str]]):
         self.merge: Callable = lambda report, seen_at: None
-        self.saw: Callable = lambda identity, seen_at: None
+        self.record_seen: Callable = lambda identity, seen_at: None
         self.on_members: Callable = lambda members: None
         self.number: Callable[[], int] = lambda: 0
-        self.on_number: Callable = lambda number, address: None
+        self.on_newer_revision: Callable = lambda number, address: None
         self.evacuation_version: Callable[[], int] = lambda: 0
-        self.on_evacuated: Callable = lambda evacuated: None
-        self.suspects: HeldSuspects | None = None
+        self.on_evacuation_update: Callable = lambda evacuated: None
+        self.suspects: SuspectCache | None = None
         self._last_replies: dict[str, float] = {}
         # Whether the last reply of each registry contained suspects.
         self._supports_suspects: dict[str, bool] = {}
@@ -66,17 +66,17 @@
             for task in self._watches.values():
                 task.cancel()
 
-    def last_heard(self) -> float:
+    def last_reply_at(self) -> float:
         """Return the time of the last reply from any registry, in monotonic seconds."""
         return max(self._last_replies.values(), default=float("-inf"))
 
     @property
-    def newest_number(self) -> int:
+    def newest_revision(self) -> int:
         """Return the highest revision in the last replies of all registries."""
         return max(self._revisions.values(), default=0)
 
     @property
-    def all_tell_suspects(self) -> bool:
+    def all_support_suspects(self) -> bool:
         """Return whether all registries that have replied support suspects."""
         return all(self._supports_suspects.values())
 
@@ -122,7 +122,7 @@
             known_revision = reply.number or 0
             self._revisions[address] = known_revision
             if known_revision > self.number():
-                self.on_number(known_revision, address)
+                self.on_newer_revision(known_revision, address)
             request.epoch = reply.epoch
             request.version = reply.version
 
@@ -138,8 +138,8 @@
                 continue
             self.merge(report, now - (record.age or 0.0))
         for identity, age in (reply.ages or {}).items():
-            self.saw(identity, now - age)
+            self.record_seen(identity, now - age)
         self.on_members(reply.members or [])
-        self.on_evacuated(reply.evacuated)
+        self.on_evacuation_update(reply.evacuated)
         if self.suspects is not None:
             self.suspects.take(reply.suspects)
--- a/traystall/registry/models.py
+++ b/traystall/registry/models.py
@@ -14,7 +14,7 @@
 
 
 # Largest valid start of a target, since its Unix milliseconds have to fit into a signed 64-bit int.
-MOST_STARTED = 2**63 - 1
+MAX_START_MS = 2**63 - 1
 
 STATE_RANK = {state: rank for rank, state in enumerate(RegisteredState)}
 
--- a/traystall/registry/memory.py
+++ b/traystall/registry/persistence.py
@@ -20,7 +20,7 @@
 logger = logging.getLogger(__name__)
 
 
-class RegistryMemory:
+class RegistryPersistence:
     """Save the ready targets of a registry whenever they have changed."""
 
     def __init__(self, registry: RegistryService, store: TargetStore):
@@ -33,7 +33,7 @@
         for report in await loop.run_in_executor(None, self._store.load):
             self._registry.report(report, RESTORED_AGE_SECONDS)
 
-    async def remember_forever(self) -> None:
+    async def save_forever(self) -> None:
         """Save the targets after each change, and retry if the disk fails."""
         saved: list[TargetReport] = []
         while True:
--- a/traystall/registry/service.py
+++ b/traystall/registry/service.py
@@ -9,8 +9,8 @@
 
 from traystall.core import clock
 from traystall.core.ids import new_id
-from traystall.evacuations.held import to_wire
-from traystall.evacuations.models import EvacuatedPlaces
+from traystall.evacuations.cache import to_wire
+from traystall.evacuations.models import EvacuatedDataCentres
 from traystall.quarantine.state import SuspectTable
 from traystall.quarantine.wire import to_wire as to_suspects
 from traystall.registry.models import TargetReport
@@ -19,11 +19,11 @@
 from traystall.rpc.gen.wire.ttypes import Member, RegistryReply, RegistryRequest
 
 # How long a watch is held open without an update.
-WATCH_HOLD = 1.0
+WATCH_HOLD_SECONDS = 1.0
 # Interval in which a subscriber receives the ages of all targets, the same as without updates. Ages
 # only show which targets are silent, with a resolution of seconds. When every reply had them, the
 # restart of one of 160 targets cost each gateway three times 7 KB from each control daemon.
-AGES_INTERVAL_SECONDS = WATCH_HOLD
+AGES_INTERVAL_SECONDS = WATCH_HOLD_SECONDS
 _EXPIRY_INTERVAL_SECONDS = 30.0
 # This number of targets takes 32 KB, 0.05 s at 5 Mbit/s; the subscriber requests the others at
 # once. When one reply held all targets and a link was too slow for it, the subscriber timed out
@@ -41,7 +41,7 @@
     replies contain its changes.
     """
 
-    def __init__(self, members, number=lambda: 0, evacuated=EvacuatedPlaces, suspects=None):
+    def __init__(self, members, number=lambda: 0, evacuated=EvacuatedDataCentres, suspects=None):
         self.registry = Registry()
         self.epoch = new_id()
         self._members = members
@@ -68,7 +68,7 @@
         began = clock.monotonic()
         ages_due = self._ages_due(request, began)
         # Without the time of the last ages, each reply has them and the hold time is not shortened.
-        deadline = began + WATCH_HOLD if request.ages_told is None else ages_due
+        deadline = began + WATCH_HOLD_SECONDS if request.ages_told is None else ages_due
         while known >= self.registry.version and self._is_up_to_date(request):
             left = deadline - clock.monotonic()
             if left <= 0:
--- a/traystall/routes/models.py
+++ b/traystall/routes/models.py
@@ -52,7 +52,7 @@
     data_centres: tuple[str, ...] = ()
 
     @property
-    def may_run_again(self) -> bool:
+    def is_safe_to_retry(self) -> bool:
         """Return whether a request may run twice without duplicate effects or output."""
         return self.resumable if self.streamed else self.repeatable
 
