--- a/traystall/registry/follower.py
+++ b/traystall/registry/follower.py
@@ -29,12 +29,13 @@
 
     `addresses` returns the addresses to watch. Updates go to these callbacks and objects:
 
-    - `merge(report, seen_at)` and `saw(identity, seen_at)` receive reports and ages of targets.
+    - `merge(report, seen_at)` receives reports of targets.
+    - `record_seen(identity, seen_at)` receives the times at which targets last reported.
     - `on_members(members)` receives the control daemons that a registry knows of.
-    - `number` returns the configuration revision in force here; `on_number(number, address)`
-      receives a higher one and the address of a daemon that has it.
-    - `evacuation_version` returns the version of the evacuations in force here;
-      `on_evacuated(evacuated)` receives the evacuations of each registry.
+    - `number` returns the configuration revision in force here.
+      `on_newer_revision(number, address)` receives a higher one and the address of its daemon.
+    - `evacuation_version` returns the version of the evacuations in force here.
+      `on_evacuation_update(evacuated)` receives the evacuations of each registry.
     - `suspects` receives the requests under which targets ended. Without it they are not requested.
     """
 
