--- a/tests/passthrough/test_asking.py
+++ b/tests/passthrough/test_asking.py
@@ -212,8 +212,8 @@
         other.running = 50  # So that the first one is chosen.
         acquire = chosen.connections.acquire
 
-        async def slow(fresh_within):
-            found = await acquire(fresh_within)
+        async def slow(max_idle_seconds):
+            found = await acquire(max_idle_seconds)
             rest(gateway, runners[0], 5.0)
             return found
 
@@ -231,9 +231,9 @@
         view = gateway.context.board.view(runners[0].identity)
         acquire = view.connections.acquire
 
-        async def slow(fresh_within):
+        async def slow(max_idle_seconds):
             view.connections.acquire = acquire
-            found = await acquire(fresh_within)
+            found = await acquire(max_idle_seconds)
             rest(gateway, runners[0], 0.3)
             return found
 
--- a/tests/passthrough/test_exchange_faults.py
+++ b/tests/passthrough/test_exchange_faults.py
@@ -8,7 +8,7 @@
 from tests.support.emulator.gateway import EmulatedGateway, run, table
 from tests.support.emulator.runner import FAULTS, Runner
 
-PROMISES = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 # What a fault leaves behind: whether the request has run or may have run at its target.
 NOT_RUN = ("not run", "misdirected")
 # The gateway can't tell these from a request that was read.
@@ -36,7 +36,7 @@
     # The second target has the same fault: a request that may run again elsewhere is seen there.
     assert len(runs) <= 1
     if runs:
-        assert status not in PROMISES
+        assert status not in NOT_RUN_STATUSES
     if status == 200:
         assert body == b"answer to hello"
         assert fault in GOOD
--- a/tests/passthrough/test_limited_targets.py
+++ b/tests/passthrough/test_limited_targets.py
@@ -9,7 +9,7 @@
 from traystall.core import clock, metrics
 from traystall.passthrough.exceptions import TargetHeldBack
 from traystall.passthrough.exchange.attempt import Attempt
-from traystall.passthrough.exchange.connection import ResponseHead, Sending, TargetConnection
+from traystall.passthrough.exchange.connection import ResponseHead, SentRequest, TargetConnection
 from traystall.passthrough.stages.piece_queue import PieceQueue
 from traystall.registry.models import TargetReport
 from traystall.systems.permits import FIRST_PART
@@ -255,7 +255,7 @@
     """Let a gateway hear the head of an answer of plain-0."""
     view = gateway.context.board.view("plain-0")
     connection = TargetConnection()
-    connection.sending = Sending(sent_at, asked, is_work, True)
+    connection.sent_request = SentRequest(sent_at, asked, is_work, True)
     names = gateway.names
     headers = [(names.request_id.encode(), answered.encode())] if answered else []
     headers += [(names.limit.encode(), limit.encode())] if limit else []
--- a/traystall/passthrough/exchange/connection.py
+++ b/traystall/passthrough/exchange/connection.py
@@ -1,8 +1,8 @@
 """One HTTP/1.1 connection to a target, parsed by httptools.
 
-It tells apart what a client library would smooth over: an answer without a
-length that ends by a reset is not complete, surplus bytes spoil the connection,
-and nothing is ever sent twice by itself.
+An HTTP client library would hide three cases that matter here: a response without a length is
+incomplete if the connection is reset, unexpected bytes make the connection unusable, and no
+request is ever retried automatically.
 """
 
 import asyncio
@@ -16,14 +16,14 @@
 from traystall.core.sockets import notice_silence
 from traystall.passthrough.exceptions import ConnectFailed, ConnectionBroken, NoAnswer
 
-# Reading stops while this many bytes of an answer wait for whoever reads it.
-_HIGH_WATER = 256 * 1024
-_KEEP_ALIVE_TIMEOUT = "timeout="
-_BODILESS = (204, 304)
+# Reading from the socket pauses while more bytes than this are buffered and not yet consumed.
+_HIGH_WATER_BYTES = 256 * 1024
+_KEEP_ALIVE_TIMEOUT_PREFIX = "timeout="
+_BODILESS_STATUSES = (204, 304)
 
 
 class ResponseHead(msgspec.Struct):
-    """Hold status and headers of an answer; names are as the target wrote them."""
+    """Hold the status and headers of a response; header names keep the case of the target."""
 
     status: int
     headers: list[tuple[bytes, bytes]]
@@ -31,7 +31,7 @@
     until_close: bool = False
 
     def get(self, name: str) -> str | None:
-        """Return the first header called `name`, in any case, or None."""
+        """Return the value of the first header `name`, case-insensitively, or None."""
         wanted = name.lower().encode()
         for key, value in self.headers:
             if key.lower() == wanted:
@@ -39,25 +39,28 @@
         return None
 
     def get_all(self, name: str) -> list[str]:
-        """Return the values of every header called `name`, in any case."""
+        """Return the values of all headers `name`, case-insensitively."""
         wanted = name.lower().encode()
         return [value.decode("latin-1") for key, value in self.headers if key.lower() == wanted]
 
     def idle_seconds(self) -> float | None:
-        """Return how long the target keeps the connection idle, if it says so."""
+        """Return the idle timeout that the target declares in Keep-Alive, or None."""
         value = self.get("Keep-Alive") or ""
         for word in value.split(","):
             word = word.strip()
-            if word.startswith(_KEEP_ALIVE_TIMEOUT) and word[len(_KEEP_ALIVE_TIMEOUT) :].isdigit():
-                return float(word[len(_KEEP_ALIVE_TIMEOUT) :])
+            if (
+                word.startswith(_KEEP_ALIVE_TIMEOUT_PREFIX)
+                and word[len(_KEEP_ALIVE_TIMEOUT_PREFIX) :].isdigit()
+            ):
+                return float(word[len(_KEEP_ALIVE_TIMEOUT_PREFIX) :])
         return None
 
 
-class Sending(msgspec.Struct, frozen=True):
-    """Describe what was sent last on a connection: when, which request, if it has an id.
+class SentRequest(msgspec.Struct, frozen=True):
+    """Describe the request that was sent last on a connection.
 
-    `is_work` is unset for what is no new work to the target; `is_covered` says that the limit that
-    the target names allows it.
+    `request_id` is None for requests without an id. `is_work` is false for requests that are no
+    new work to the target. `is_covered` tells whether the target's rate limit permits the request.
     """
 
     sent_at: float = float("-inf")
@@ -66,42 +69,42 @@
     is_covered: bool = False
 
 
-class ConnectionWatch(msgspec.Struct, frozen=True):
-    """Be told what passes on connections.
+class ConnectionObserver(msgspec.Struct, frozen=True):
+    """Hold callbacks that observe the traffic on connections.
 
-    `on_send(connection)` is called before each request, `on_head(connection, head)` with each head
-    as soon as it is in, whoever waits for it.
+    `on_send(connection)` is called before each request. `on_head(connection, head)` is called with
+    each response head when it is parsed, even if no caller waits for the response.
     """
 
     on_send: Callable[["TargetConnection"], None] = lambda connection: None
     on_head: Callable[["TargetConnection", ResponseHead], None] = lambda connection, head: None
 
 
-_UNWATCHED = ConnectionWatch()
+_NO_OBSERVER = ConnectionObserver()
 
 
-class _End:
-    """Mark the end of a message in the queue of what was read."""
+class _EndOfMessage:
+    """Mark the end of a message in the queue of received items."""
 
 
-_END = _End()
+_END_OF_MESSAGE = _EndOfMessage()
 
 
 class TargetConnection(asyncio.Protocol):
-    """Exchange requests and answers with one target, one at a time."""
+    """Exchange requests and responses with one target, one at a time."""
 
-    def __init__(self, watch: ConnectionWatch = _UNWATCHED):
-        self._watch = watch
+    def __init__(self, observer: ConnectionObserver = _NO_OBSERVER):
+        self._observer = observer
         self.transport: asyncio.Transport | None = None
         self.is_closed = False
         self.is_idle = False
         self.idle_since = 0.0
         self.idle_until = float("inf")
         self.requests = 0
-        self.sending = Sending()
+        self.sent_request = SentRequest()
         self._parser = httptools.HttpResponseParser(self)
-        self._read: deque = deque()
-        self._read_bytes = 0
+        self._received: deque = deque()
+        self._buffered_bytes = 0
         self._waiter: asyncio.Future | None = None
         self._error: Exception | None = None
         self._headers: list[tuple[bytes, bytes]] = []
@@ -111,57 +114,58 @@
         self._had_eof = False
         self._paused = False
 
-    # ---- what the exchange calls ----
+    # ---- interface for attempts ----
 
-    def send(self, data: bytes, sending: Sending = Sending()) -> None:  # noqa: B008 - it is frozen.
-        """Hand the bytes of a whole request to the transport."""
+    def send(self, data: bytes, sent_request: SentRequest = SentRequest()) -> None:  # noqa: B008 - it is frozen.
+        """Write a complete request to the transport."""
         if self.is_closed or self.transport is None:
             raise ConnectionBroken("The connection is closed.", sent=False)
         self.is_idle = False
         self.requests += 1
-        self.sending = sending
-        self._watch.on_send(self)
+        self.sent_request = sent_request
+        self._observer.on_send(self)
         self.transport.write(data)
 
     async def head(self) -> ResponseHead:
-        """Return the head of the next answer."""
+        """Return the head of the next response."""
         while True:
             item = await self._next()
             if isinstance(item, ResponseHead):
                 return item
             if isinstance(item, bytes):
-                raise NoAnswer("Bytes came where an answer was due.", sent=True)
+                raise NoAnswer("Received body bytes instead of a response head.", sent=True)
 
     async def chunk(self) -> bytes:
-        """Return more of the body, or nothing at its end; raise if it was cut short."""
+        """Return the next bytes of the body, empty at its end; raise if the body is truncated."""
         item = await self._next()
-        if item is _END:
+        if item is _END_OF_MESSAGE:
             return b""
         if isinstance(item, ResponseHead):
-            raise NoAnswer("Another answer came inside one.", sent=True)
+            raise NoAnswer("Another response began inside the body.", sent=True)
         return item
 
     async def body(self, limit: int) -> bytes:
-        """Return the whole body; raise NoAnswer if it is over `limit` bytes."""
+        """Return the complete body; raise NoAnswer if it exceeds `limit` bytes."""
         parts = []
         size = 0
         while part := await self.chunk():
             parts.append(part)
             size += len(part)
             if size > limit:
-                raise NoAnswer(f"The answer is over {limit} bytes.", sent=True)
+                raise NoAnswer(f"The response body exceeds {limit} bytes.", sent=True)
         return b"".join(parts)
 
     def is_reusable(self, head: ResponseHead) -> bool:
-        """Return whether another request may follow the answer that was just read."""
-        clean = not self._read and self._error is None and not self._in_message
+        """Return whether another request may follow the response that was just read."""
+        clean = not self._received and self._error is None and not self._in_message
         if not clean or self.is_closed or not head.keep_alive or head.until_close:
             return False
-        # The rest of a request that the target has answered early would come first.
+        # Unsent bytes mean that the target responded before it had read the whole request; they
+        # would precede the next request.
         return self.transport.get_write_buffer_size() == 0
 
     def close(self) -> None:
-        """Close at once; whatever the target still works on is given up."""
+        """Close the connection immediately, which cancels work in progress at the target."""
         self.is_closed = True
         if self.transport is not None:
             self.transport.abort()
@@ -169,81 +173,81 @@
     # ---- asyncio.Protocol ----
 
     def connection_made(self, transport):
-        """Keep the transport."""
+        """Store the transport and enable the detection of silent peers."""
         self.transport = transport
         notice_silence(transport)
 
     def data_received(self, data):
-        """Parse what came; bytes that nobody asked for spoil the connection."""
+        """Feed the parser; bytes on an idle connection are unexpected and close it."""
         if self.is_idle:
             self.close()
             return
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self._fail(NoAnswer(f"What came is no answer: {error}.", sent=True))
+            self._fail(NoAnswer(f"The response is not valid HTTP: {error}.", sent=True))
 
     def eof_received(self):
-        """Note that the target ended its side in order, and close."""
+        """Record that the target closed its side in order, and close the connection."""
         self._had_eof = True
         return False
 
     def connection_lost(self, exc):
-        """End a body that runs until the close, or fail whoever waits."""
+        """Complete a body that is delimited by the close, or fail the pending read."""
         self.is_closed = True
         whole = self._in_message and self._until_close and self._had_eof and exc is None
         if whole:
             self._in_message = False
-            self._put(_END)
+            self._enqueue(_END_OF_MESSAGE)
         silent = isinstance(exc, OSError) and exc.errno == errno.ETIMEDOUT
         self._fail(
             ConnectionBroken(f"The connection ended: {exc or 'closed'}.", sent=True, silent=silent)
         )
 
-    # ---- httptools ----
+    # ---- httptools callbacks ----
 
     def on_message_begin(self):
-        """Begin a message."""
+        """Reset the header list for a new message."""
         self._headers = []
         self._in_message = True
 
     def on_header(self, name, value):
-        """Keep a header."""
+        """Collect a header."""
         self._headers.append((name, value))
 
     def on_headers_complete(self):
-        """Hand out the head, unless it is an interim answer."""
+        """Queue the response head; interim responses (1xx) are skipped."""
         status = self._parser.get_status_code()
         self._interim = 100 <= status < 200
         if self._interim:
             return
         names = {name.lower() for name, _ in self._headers}
         framed = b"content-length" in names or b"transfer-encoding" in names
-        self._until_close = not framed and status not in _BODILESS
+        self._until_close = not framed and status not in _BODILESS_STATUSES
         head = ResponseHead(
             status, self._headers, self._parser.should_keep_alive(), self._until_close
         )
-        self._watch.on_head(self, head)
-        self._put(head)
+        self._observer.on_head(self, head)
+        self._enqueue(head)
 
     def on_body(self, data):
-        """Hand out a part of the body."""
-        self._read_bytes += len(data)
-        if self._read_bytes > _HIGH_WATER and not self._paused and not self.is_closed:
+        """Queue body bytes, and pause reading above the high-water mark."""
+        self._buffered_bytes += len(data)
+        if self._buffered_bytes > _HIGH_WATER_BYTES and not self._paused and not self.is_closed:
             self._paused = True
             self.transport.pause_reading()
-        self._put(data)
+        self._enqueue(data)
 
     def on_message_complete(self):
-        """Hand out the end of the message."""
+        """Queue the end of the message."""
         self._in_message = False
         if not self._interim:
-            self._put(_END)
+            self._enqueue(_END_OF_MESSAGE)
 
     # ---- helpers ----
 
-    def _put(self, item):
-        self._read.append(item)
+    def _enqueue(self, item):
+        self._received.append(item)
         self._wake()
 
     def _fail(self, error):
@@ -256,34 +260,38 @@
             self._waiter.set_result(None)
 
     async def _next(self):
-        while not self._read:
+        while not self._received:
             if self._error is not None:
                 raise self._error
             self._waiter = asyncio.get_running_loop().create_future()
             await self._waiter
-        item = self._read.popleft()
+        item = self._received.popleft()
         if isinstance(item, bytes):
-            self._read_bytes -= len(item)
-            if self._paused and self._read_bytes <= _HIGH_WATER // 2 and not self.is_closed:
+            self._buffered_bytes -= len(item)
+            if (
+                self._paused
+                and self._buffered_bytes <= _HIGH_WATER_BYTES // 2
+                and not self.is_closed
+            ):
                 self._paused = False
                 self.transport.resume_reading()
         return item
 
 
 async def connect(
-    address: str, timeout: float, watch: ConnectionWatch = _UNWATCHED
+    address: str, timeout: float, observer: ConnectionObserver = _NO_OBSERVER
 ) -> TargetConnection:
-    """Return a new connection to IP:PORT; raise ConnectFailed if none comes up in time."""
+    """Return a new connection to IP:PORT; raise ConnectFailed if it fails or times out."""
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
     try:
         async with asyncio.timeout(timeout):
             _, connection = await loop.create_connection(
-                lambda: TargetConnection(watch), host, int(port)
+                lambda: TargetConnection(observer), host, int(port)
             )
     except TimeoutError as error:
-        raise ConnectFailed(f"{address} does not answer.", silent=True) from error
+        raise ConnectFailed(f"Connecting to {address} timed out.", silent=True) from error
     except (OSError, ValueError) as error:
         refused = isinstance(error, ConnectionRefusedError)
-        raise ConnectFailed(f"{address} cannot be reached: {error}.", refused=refused) from error
+        raise ConnectFailed(f"Connecting to {address} failed: {error}.", refused=refused) from error
     return connection
--- a/traystall/passthrough/exchange/failures.py
+++ b/traystall/passthrough/exchange/failures.py
@@ -1,4 +1,4 @@
-"""What a failed attempt proves, and what may be done after it. Pure but for the target's record."""
+"""Classify failed attempts and decide whether a request may be retried. Performs no I/O."""
 
 from enum import StrEnum
 
@@ -6,69 +6,83 @@
 
 from traystall.passthrough.dialect import HeaderNames
 from traystall.passthrough.entry.request import PassRequest
-from traystall.passthrough.exchange.attempt import Answer
+from traystall.passthrough.exchange.attempt import TargetResponse
 from traystall.passthrough.exchange.connection import ResponseHead
 from traystall.systems.rests import RETRY_AFTER, rest_seconds
 
-# Less time than this, in seconds, is not enough for another attempt.
-MIN_SECONDS = 0.02
-# Connections that did not come up are tried elsewhere this often; nothing was sent on them.
-_MAX_UNREACHABLE = 4
-# The status of a target that misses an input, beside its word that it has not run the request.
-_INPUTS_LOST = 409
-# How long a target that is full is avoided, in seconds, and at the most if it says so.
-_FULL_SECONDS = 0.05
-_MAX_FULL_SECONDS = 2.0
+# With less time left than this, no further attempt is made.
+MIN_ATTEMPT_SECONDS = 0.02
+# Failed connections do not count as attempts, because nothing was sent on them. A request is
+# refused after this many.
+_MAX_UNREACHABLE_TARGETS = 4
+# Status with which a target reports a missing input, next to the header that says that it has not
+# run the request.
+_INPUTS_LOST_STATUS = 409
+# How long a target that is at capacity gets no new work, and the upper bound of the time that the
+# target itself asks for.
+_FULL_TARGET_PAUSE_SECONDS = 0.05
+_MAX_FULL_TARGET_PAUSE_SECONDS = 2.0
 
 
 class FailureKind(StrEnum):
-    """Say what a failed attempt proves."""
+    """Classify a failed attempt by what it proves about the request.
+
+    UNREACHABLE: no connection was made, so the request was not sent.
+    NOT_RUN: the target declares that it has not run the request.
+    DOUBT: the request was sent, and it is unknown whether it has run.
+    FAILED: the target answered with an error of its own.
+    HELD_BACK: the request was not sent, because the target withdrew its availability meanwhile.
+    """
 
     UNREACHABLE = "unreachable"
     NOT_RUN = "not-run"
     DOUBT = "doubt"
     FAILED = "failed"
-    # Nothing was sent since the target has asked for that meanwhile.
     HELD_BACK = "held-back"
 
 
 class Failure(msgspec.Struct, frozen=True):
-    """Hold how an attempt failed; `answer` is the target's own, where it gave one."""
+    """Describe a failed attempt; `answer` is the target's response, if one was received."""
 
     kind: FailureKind
     reason: str
-    answer: Answer | None = None
+    response: TargetResponse | None = None
 
 
 def may_try_again(passed: PassRequest, failure: Failure, unreachable: int) -> bool:
-    """Return whether another target may get the request, leaving the budget aside."""
-    if passed.remaining() < MIN_SECONDS:
+    """Return whether the request may be sent to another target; the retry budget is not checked."""
+    if passed.remaining() < MIN_ATTEMPT_SECONDS:
         return False
     if failure.kind is FailureKind.UNREACHABLE:
-        return unreachable < _MAX_UNREACHABLE
+        return unreachable < _MAX_UNREACHABLE_TARGETS
     if passed.attempts >= passed.route.max_attempts:
         return False
     return failure.kind is FailureKind.NOT_RUN or passed.route.may_run_again
 
 
 def lost_inputs(failure: Failure) -> bool:
-    """Return whether a target has not run a request because results it reads are lost."""
-    answer = failure.answer
-    not_run = failure.kind is FailureKind.NOT_RUN and answer is not None
-    return not_run and answer.head.status == _INPUTS_LOST
+    """Return whether the target rejected the request because stage results it needs are lost."""
+    response = failure.response
+    not_run = failure.kind is FailureKind.NOT_RUN and response is not None
+    return not_run and response.head.status == _INPUTS_LOST_STATUS
 
 
 def is_success(head: ResponseHead, names: HeaderNames) -> bool:
-    """Return whether a head is a target's own success: signed, and not encoded on the way."""
+    """Return whether a response is a success of the target itself.
+
+    The target signs its responses. A missing signature or a content encoding shows that an
+    intermediary produced or altered the response.
+    """
     if not 200 <= head.status < 300:
         return False
     return head.get(names.signature) is not None and head.get("Content-Encoding") is None
 
 
 def pause_after_refusal(head: ResponseHead) -> float:
-    """Return how long a target that did not run a request is avoided, in seconds.
+    """Return how long a target that did not run a request gets no new work, in seconds.
 
-    This is for want of a slot and may be overruled; a rest that it asked for is kept elsewhere.
+    The pause is for a target without a free slot and is ignored if no other target is left. A
+    backoff period that the target asked for is binding and is handled by `TargetNoticeMonitor`.
     """
     seconds = rest_seconds(head.get_all(RETRY_AFTER), head.get("Date"))
-    return min(_MAX_FULL_SECONDS, seconds) or _FULL_SECONDS
+    return min(_MAX_FULL_TARGET_PAUSE_SECONDS, seconds) or _FULL_TARGET_PAUSE_SECONDS
--- a/traystall/passthrough/exchange/pool.py
+++ b/traystall/passthrough/exchange/pool.py
@@ -1,71 +1,72 @@
-"""Kept connections to one target, within this gateway's part of what the target accepts."""
+"""Connection pool for one target, limited to this gateway's share of its connections."""
 
 from collections.abc import Callable
 
 from traystall.core import clock
 from traystall.passthrough.exceptions import ConnectFailed
 from traystall.passthrough.exchange.connection import (
-    ConnectionWatch,
+    ConnectionObserver,
     ResponseHead,
     TargetConnection,
     connect,
 )
 
-# A kept connection is left this long, in seconds, before the target would close it.
-_MARGIN_SECONDS = 0.6
+# An idle connection is dropped this long before the idle timeout of the target, so that the target
+# does not close it while a request is on its way.
+_IDLE_MARGIN_SECONDS = 0.6
 _DEFAULT_IDLE_SECONDS = 4.0
-CONNECT_TIMEOUT = 0.25
+CONNECT_TIMEOUT_SECONDS = 0.25
 
 
 class ConnectionPool:
-    """Lend connections to one target and take them back.
+    """Pool keep-alive connections to one target.
 
-    `limit` returns how many may be open at once, `watch` is told what passes.
+    `limit` returns how many connections may be open at once. `observer` observes their traffic.
     """
 
     def __init__(
         self,
         address: str,
         limit: Callable[[], int],
-        watch: ConnectionWatch = ConnectionWatch(),  # noqa: B008 - it is frozen.
+        observer: ConnectionObserver = ConnectionObserver(),  # noqa: B008 - it is frozen.
     ):
-        self._watch = watch
+        self._observer = observer
         self._address = address
         self._limit = limit
         self._idle: list[TargetConnection] = []
         self._open = 0
 
     def has_room(self) -> bool:
-        """Return whether a connection can be had now."""
+        """Return whether a connection can be acquired now."""
         return bool(self._idle) or self._open < self._limit()
 
-    async def acquire(self, fresh_within: float = float("inf")) -> TargetConnection:
-        """Return a kept connection that rested less than `fresh_within` seconds, or a new one."""
+    async def acquire(self, max_idle_seconds: float = float("inf")) -> TargetConnection:
+        """Return a connection that was idle for at most `max_idle_seconds`, or a new one."""
         now = clock.monotonic()
-        kept = self._take_idle(now, fresh_within)
+        kept = self._take_idle(now, max_idle_seconds)
         if kept is not None:
             return kept
         if self._open >= self._limit():
             raise ConnectFailed(f"All connections to {self._address} are in use.")
         self._open += 1
         try:
-            return await connect(self._address, CONNECT_TIMEOUT, self._watch)
+            return await connect(self._address, CONNECT_TIMEOUT_SECONDS, self._observer)
         except BaseException:
             self._open -= 1
             raise
 
     def release(self, connection: TargetConnection, head: ResponseHead | None) -> None:
-        """Keep a connection whose answer with `head` was read whole, or close it."""
+        """Return a connection whose response was read completely; close it if not reusable."""
         if head is None or not connection.is_reusable(head):
             self.discard(connection)
             return
         seconds = head.idle_seconds()
         self._keep(
-            connection, _DEFAULT_IDLE_SECONDS if seconds is None else seconds - _MARGIN_SECONDS
+            connection, _DEFAULT_IDLE_SECONDS if seconds is None else seconds - _IDLE_MARGIN_SECONDS
         )
 
-    def give_back(self, connection: TargetConnection) -> None:
-        """Keep a connection on which nothing was sent after all."""
+    def return_unused(self, connection: TargetConnection) -> None:
+        """Return a connection on which nothing was sent."""
         if connection.is_closed:
             self.discard(connection)
             return
@@ -73,17 +74,17 @@
         self._keep(connection, min(known, _DEFAULT_IDLE_SECONDS))
 
     def discard(self, connection: TargetConnection) -> None:
-        """Close a connection that can't be used again."""
+        """Close a connection that can't be reused."""
         self._open -= 1
         connection.close()
 
     def close_idle(self) -> None:
-        """Close the kept connections; those in use go on."""
+        """Close the idle connections; those in use stay open."""
         while self._idle:
             self.discard(self._idle.pop())
 
     def close(self) -> None:
-        """Close what is kept."""
+        """Close the pool."""
         self.close_idle()
 
     def _keep(self, connection, seconds):
@@ -93,10 +94,10 @@
         connection.idle_until = now + seconds
         self._idle.append(connection)
 
-    def _take_idle(self, now, fresh_within):
+    def _take_idle(self, now, max_idle_seconds):
         while self._idle:
             connection = self._idle.pop()
-            expired = now >= connection.idle_until or now - connection.idle_since > fresh_within
+            expired = now >= connection.idle_until or now - connection.idle_since > max_idle_seconds
             if connection.is_closed or expired:
                 self.discard(connection)
                 continue
--- a/traystall/passthrough/exchange/refusals.py
+++ b/traystall/passthrough/exchange/refusals.py
@@ -1,6 +1,7 @@
-"""Tell what a request is refused with, and refuse at once what no target can serve in time.
+"""Admission checks before a request runs, and the refusals that a gateway answers with.
 
-A refusal says when to come back, and 503 only of what has not run and never will.
+A request that no target can serve in time is refused immediately. A refusal carries a Retry-After
+value. Status 503 is used only for requests that have not run and will not run.
 """
 
 from traystall.core import clock
@@ -9,53 +10,61 @@
 from traystall.passthrough.entry.request import PassRequest
 from traystall.passthrough.exceptions import Refusal
 
-# When to come back, in seconds, where nothing better is known: spread between these.
-_RETRY_AFTER = (0.2, 0.6)
-# The part of the aim that a request may wait until a pool that rests as a whole may be asked.
-REST_WAIT_PART = 0.2
-# The part of the aim that a request may wait for its turn at least, and the part of its time left
-# at the most, where all targets of its pool name a limit.
-_TURN_PART = 0.2
-_MOST_TURN_PART = 0.4
-# The codes of refusals of requests whose targets have all asked for rest, or have all named a limit
-# that is used up.
+# Default range of Retry-After. The value is drawn at random to spread the retries.
+_RETRY_AFTER_RANGE_SECONDS = (0.2, 0.6)
+# How long a request may wait for the end of the backoff period of a whole pool, as a ratio of the
+# route's latency aim.
+MAX_BACKOFF_WAIT_RATIO = 0.2
+# How long a request may wait for a permit if all targets of its pool are rate-limited: at least
+# this ratio of the latency aim, and at most this ratio of the time left until its deadline.
+_MIN_TURN_WAIT_RATIO = 0.2
+_MAX_TURN_WAIT_RATIO = 0.4
+# Refusal codes for a pool whose targets are all in a backoff period, and for a pool whose targets
+# are all rate-limited with the limit used up.
 RESTING = "resting"
 LIMITED = "limited"
-# An operator restores a data centre no sooner than this, in seconds.
-PLACE_RETRY_AFTER = 2.0
+# Retry-After for requests whose data centres are evacuated. An operator does not restore a data
+# centre sooner than this.
+EVACUATED_RETRY_AFTER_SECONDS = 2.0
 
 
 class Refusals:
-    """Refuse requests at one gateway."""
+    """Check requests for admission and build refusals at one gateway."""
 
     def __init__(self, context: PassContext):
         self._context = context
 
-    def require_chance(self, passed: PassRequest) -> None:
-        """Raise Refusal for what no target could serve in time, before anything is done for it."""
-        self._refuse_without_place(passed)
-        self._refuse_at_rest(passed)
+    def require_servable(self, passed: PassRequest) -> None:
+        """Raise Refusal if no target could serve the request in time; called before it runs."""
+        self._refuse_without_data_centre(passed)
+        self._refuse_during_backoff(passed)
         self._refuse_beyond_limit(passed)
 
-    def turn_patience(self, passed: PassRequest) -> float:
-        """Return how long a request may wait for its turn at a limited target, in seconds.
+    def max_turn_wait(self, passed: PassRequest) -> float:
+        """Return how long a request may wait for a permit of a rate-limited target, in seconds.
 
-        It is 0 where another target of its pool takes it at once, else what its aim leaves.
+        The value is 0 if the pool has a target without a rate limit. Otherwise it is the time that
+        the latency aim leaves after the usual response time, within the ratios above.
         """
         if self._context.board.whole_limit(passed.pool, passed.places) is None:
             return 0.0
         aim = passed.route.aim
-        slack = aim - (clock.monotonic() - passed.started) - self.usual_answer(passed)
-        return min(max(slack, aim * _TURN_PART), passed.remaining() * _MOST_TURN_PART)
+        slack = aim - (clock.monotonic() - passed.started) - self.usual_response_seconds(passed)
+        return min(
+            max(slack, aim * _MIN_TURN_WAIT_RATIO), passed.remaining() * _MAX_TURN_WAIT_RATIO
+        )
 
-    def usual_answer(self, passed: PassRequest) -> float:
-        """Return about how long a target takes to answer, or to begin its stream, in seconds."""
+    def usual_response_seconds(self, passed: PassRequest) -> float:
+        """Return the usual time until a response, or until the first event of a stream."""
         if passed.route.streamed:
             return self._context.engine_seconds(passed.prompt.seconds())
         return self._context.board.mean_seconds(passed.pool)
 
-    def resting(self, passed: PassRequest, seconds: float) -> Refusal:
-        """Return the refusal of a request whose pool can't be asked for so many seconds."""
+    def backoff_refusal(self, passed: PassRequest, seconds: float) -> Refusal:
+        """Return the refusal for a pool that is unavailable for the next `seconds`.
+
+        The cause is a backoff period or a used-up rate limit.
+        """
         turn = self._context.turn_seconds(passed.pool, passed.places)
         if not turn:
             detail = f"All targets of '{passed.pool}' have asked for rest."
@@ -67,45 +76,49 @@
     def refusal(
         self, passed: PassRequest, code: str, detail: str, retry_after: float | None = None
     ) -> Refusal:
-        """Return what may truthfully be said: 503 only for what has not run and never will."""
+        """Return a refusal with status 503 if the request has not run, otherwise 502 or 504."""
         if passed.may_have_run:
             status = 504 if code == "too-late" else 502
             passed.outcome = f"failed-{code}"
             return Refusal(status, code, detail)
         passed.outcome = f"refused-{code}"
         if retry_after is None:
-            retry_after = self._context.random.uniform(*_RETRY_AFTER)
+            retry_after = self._context.random.uniform(*_RETRY_AFTER_RANGE_SECONDS)
         return Refusal(503, code, detail, retry_after)
 
-    def _refuse_without_place(self, passed):
-        """Refuse at once what no target may take before an operator changes that."""
+    def _refuse_without_data_centre(self, passed):
+        """Refuse a request if no permitted data centre has targets for it or for its stages.
+
+        Waiting would not help: only an operator's change makes such a request servable.
+        """
         stages = zip(passed.route.stages, passed.piece_counts, strict=True)
         for pool in {passed.pool, *(stage.pool for stage, count in stages if count)}:
             if self._context.lacks_place(pool, passed.places):
                 code = "evacuated" if self._context.board.evacuated else "no-place"
                 detail = f"No data centre that the request may use has targets of '{pool}'."
-                raise self.refusal(passed, code, detail, PLACE_RETRY_AFTER)
+                raise self.refusal(passed, code, detail, EVACUATED_RETRY_AFTER_SECONDS)
 
-    def _refuse_at_rest(self, passed):
-        """Refuse at once what would come to its pool while that rests as a whole.
+    def _refuse_during_backoff(self, passed):
+        """Refuse a request that would reach its pool while all targets there are in backoff.
 
-        It can't be served in time, and nobody would gain by its stages or its waiting.
+        It can't be served in time, so running its stages or letting it wait would be wasted.
         """
-        rest = self._context.rest_left(passed.pool, passed.places)
-        if rest > self._stages_end(passed) + passed.route.aim * REST_WAIT_PART:
-            raise self.resting(passed, rest)
+        seconds = self._context.rest_left(passed.pool, passed.places)
+        if seconds > self._usual_stages_seconds(passed) + passed.route.aim * MAX_BACKOFF_WAIT_RATIO:
+            raise self.backoff_refusal(passed, seconds)
 
     def _refuse_beyond_limit(self, passed):
-        """Refuse at once what would come after more than its pool takes within its time.
+        """Refuse a request whose pool has more requests ahead than its rate limit admits in time.
 
-        All its targets name a limit, and those whose stages are being made go first.
+        This applies if all targets of the pool are rate-limited. Requests whose stages are running
+        are ahead of this one.
         """
         wait = self._context.limit_wait(passed.pool, passed.places)
-        if wait and wait > self._stages_end(passed) + self.turn_patience(passed):
-            raise self.resting(passed, wait - self.turn_patience(passed))
+        if wait and wait > self._usual_stages_seconds(passed) + self.max_turn_wait(passed):
+            raise self.backoff_refusal(passed, wait - self.max_turn_wait(passed))
 
-    def _stages_end(self, passed) -> float:
-        """Return in how many seconds the stages of a request usually end, nothing waiting."""
+    def _usual_stages_seconds(self, passed) -> float:
+        """Return how long the stages of a request usually take with empty queues, in seconds."""
         usual = self._context.usual_stage_seconds
         stages = passed.route.stages
         times = stage_times(stages, passed.piece_counts, usual, lambda pool, at: 0.0, 0.0)
--- a/traystall/passthrough/exchange/runner.py
+++ b/traystall/passthrough/exchange/runner.py
@@ -1,8 +1,11 @@
-"""Run one request: its stages, then attempts at targets until there is a final answer.
+"""Run one request: its stages, then attempts at targets until there is a final response.
 
-What decides whether it may be sent again stands in `failures.may_try_again`: only
-work that is known not to have run, or that may run again, and only within the
-route's attempts and the budget.
+A stage is work that workers do before the request reaches its target; its results are inputs of
+the request. Each stage is split into pieces, which workers run in batches.
+
+`failures.may_try_again` decides about retries: a request is sent again only if it is known not to
+have run, or if its route allows it to run again, and only within the route's maximum number of
+attempts and the pool's retry budget.
 """
 
 import asyncio
@@ -23,9 +26,9 @@
     Refusal,
     TargetHeldBack,
 )
-from traystall.passthrough.exchange.attempt import PROMISES, Answer, Attempt, before
+from traystall.passthrough.exchange.attempt import NOT_RUN_STATUSES, Attempt, TargetResponse, before
 from traystall.passthrough.exchange.failures import (
-    MIN_SECONDS,
+    MIN_ATTEMPT_SECONDS,
     Failure,
     FailureKind,
     is_success,
@@ -33,32 +36,33 @@
     may_try_again,
     pause_after_refusal,
 )
-from traystall.passthrough.exchange.refusals import REST_WAIT_PART, Refusals
+from traystall.passthrough.exchange.refusals import MAX_BACKOFF_WAIT_RATIO, Refusals
 from traystall.passthrough.health.board import TargetView
 from traystall.passthrough.placement import choice
 from traystall.passthrough.stages.cells import balanced_cell, cell_of, other_cell
 from traystall.passthrough.stages.chain import InputsGone, StageChain, StageFailed
 from traystall.quarantine.ends import WatchedTarget
 
-# A request that must not run twice goes only on connections that rested less than this, in
-# seconds: one that the target closes meanwhile would leave a doubt.
-_FRESH_SECONDS = 1.0
-# The stages are run so many times at the most.
-_MAX_CHAINS = 2
-# Where another target may be asked: how long the first may take to answer, in seconds, as a part
-# of the aim, and beside what is usual.
-_LEAST_PATIENCE = 0.15
-_PATIENCE_PART = 0.45
-_PATIENCE_FACTOR = 3.0
-# A resumable stream that pauses for so long, in seconds and beside its aim, goes on elsewhere.
-_LEAST_PAUSE = 0.6
-_PAUSE_FACTOR = 4.0
-# The part of the aim that a request may wait while another trial is under way: a refusal is then
-# still early enough for its caller to return in time.
-_TRIAL_WAIT_PART = 0.2
-# How often is looked whether a pool that rests as a whole may be asked, in seconds.
-_REST_LOOK_SECONDS = 0.02
-# The code of refusals of requests that ended the targets that ran them.
+# A request that must not run twice uses only connections that were idle for at most this time. If
+# the target closed an older connection at that moment, it would be unknown whether the request ran.
+_MAX_IDLE_SECONDS = 1.0
+# How many times the stages of a request may run, counting the first run.
+_MAX_STAGE_RUNS = 2
+# How long a target may take to respond before another one is tried: at least this time, this ratio
+# of the latency aim, and this multiple of the usual response time.
+_MIN_HEAD_TIMEOUT_SECONDS = 0.15
+_HEAD_TIMEOUT_AIM_RATIO = 0.45
+_HEAD_TIMEOUT_USUAL_FACTOR = 3.0
+# A resumable stream without data for this time, or for this multiple of the route's aim for the
+# pause between events if that is longer, is continued at another target.
+_MIN_STREAM_PAUSE_SECONDS = 0.6
+_STREAM_PAUSE_AIM_FACTOR = 4.0
+# How long a request may wait while another trial of the same request runs, as a ratio of the
+# latency aim. A refusal after that time still leaves the caller enough time to retry.
+_TRIAL_WAIT_AIM_RATIO = 0.2
+# Interval between checks whether a pool without available targets has one again.
+_AVAILABILITY_POLL_SECONDS = 0.02
+# Refusal code for requests whose targets terminated while they ran them.
 QUARANTINED = "quarantined"
 
 
@@ -70,20 +74,20 @@
         self._refusals = Refusals(context)
 
     async def run(self, request: Request, passed: PassRequest) -> Response | None:
-        """Return the final answer, None after a stream that was written; or raise Refusal."""
+        """Return the final response, or None after a stream was written; raise Refusal."""
         sink = StreamSink(request, passed)
         self._context.budget(passed.pool).on_request(clock.monotonic())
         try:
             async with asyncio.timeout(max(0.0, passed.remaining())) as passed.time_limit:
-                return await self._run_chains(passed, sink)
+                return await self._run_with_stages(passed, sink)
         except TimeoutError:
             if sink.is_open:
-                return self._cut(passed, sink, "timeout")
+                return self._abort_stream(passed, sink, "timeout")
             raise self._refusals.refusal(passed, "too-late", "The deadline passed.") from None
         except Refusal as refusal:
             if sink.is_open:
-                # Its head is sent: an answer of our own would land inside the target's.
-                return self._cut(passed, sink, refusal.detail)
+                # The head was sent already, so a refusal would be written into the target's stream.
+                return self._abort_stream(passed, sink, refusal.detail)
             raise
         except asyncio.CancelledError:
             passed.outcome = "caller-left"
@@ -91,11 +95,11 @@
         finally:
             self._context.guard.over(passed.guarded)
 
-    async def _run_chains(self, passed, sink):
-        """Run the stages and the request; once more from the start if results were lost."""
-        self._refusals.require_chance(passed)
+    async def _run_with_stages(self, passed, sink):
+        """Run the stages and the request; start over if stage results were lost."""
+        self._refusals.require_servable(passed)
         await self._require_admission(passed)
-        for left in reversed(range(_MAX_CHAINS)):
+        for left in reversed(range(_MAX_STAGE_RUNS)):
             chain = StageChain(self._context, passed)
             try:
                 await self._run_stages(chain, passed)
@@ -106,25 +110,27 @@
                     raise self._refusals.refusal(passed, "stage-failed", str(error)) from error
             finally:
                 chain.free()
-        raise AssertionError("The last chain returns or raises.")
+        raise AssertionError("The last run of the stages must return or raise.")
 
     async def _require_admission(self, passed):
-        """Refuse what ended the targets that ran it, before each of its stages and attempts.
+        """Refuse a quarantined request, before its stages and before each attempt.
 
-        One request ended nine targets, each arrival a new one, since nobody remembered the others.
+        A request is quarantined after targets have terminated while they ran it. The quarantine
+        outlives a single arrival: without it, one request terminated nine targets, because each
+        new arrival of the request was sent to another target.
         """
         if passed.guarded.trial and not passed.attempts:
             return
         if passed.guarded.trial:
             detail = "It was sent as a trial, which is a single attempt."
             raise self._refusals.refusal(passed, QUARANTINED, detail)
-        patience = passed.route.aim * _TRIAL_WAIT_PART
+        patience = passed.route.aim * _TRIAL_WAIT_AIM_RATIO
         admission = await self._context.guard.admit(passed.guarded, patience)
         if not admission.may_send:
             raise self._refusals.refusal(passed, QUARANTINED, admission.why, admission.retry_after)
 
     def _may_run_stages_again(self, passed) -> bool:
-        """Take what the pools of the stages allow to be asked again."""
+        """Take the pieces of all stages from the retry budgets; return whether all allow it."""
         pools = {
             stage.pool: count
             for stage, count in zip(passed.route.stages, passed.piece_counts, strict=True)
@@ -151,7 +157,10 @@
             passed.stages_seconds = clock.monotonic() - began
 
     async def _run_in_cells(self, chain, passed):
-        """Run the stages in the cell of the likely target, or in another one if it is busy."""
+        """Run the stages in the cell of the likely target, or in another cell if it is busy.
+
+        A cell is a group of data centres that batches pieces on its own.
+        """
         cells = self._context.cells()
         cell = cell_of(passed.request_id, passed.home, cells)
         balanced = self._balanced_cell(passed, cell, cells)
@@ -173,9 +182,10 @@
         return await chain.run()
 
     def _balanced_cell(self, passed, cell, cells) -> str:
-        """Return the cell for a request, which may be another than the one of its engine.
+        """Return the cell for the stages of a request, which may differ from its engine's cell.
 
-        Results that are heavy stay where they are read, and a customer's where they may be.
+        A request keeps its cell if its stage results are large, because the engine reads them, or
+        if it is restricted to certain data centres.
         """
         if not cells or passed.places or passed.has_heavy_results:
             return cell
@@ -191,14 +201,14 @@
         failure: Failure | None = None
         while True:
             await self._require_admission(passed)
-            view = await self._choose_soon(passed)
+            view = await self._wait_for_target(passed)
             if view is None:
                 return self._finish_failed(passed, sink, failure)
             outcome = await self._attempt(passed, view, sink, chain)
             if not isinstance(outcome, Failure):
                 return outcome
             if outcome.kind is FailureKind.HELD_BACK:
-                # Nothing was sent: it costs neither an attempt nor a repeat.
+                # Nothing was sent, so neither an attempt nor the retry budget is used.
                 passed.tried.discard(view.identity)
                 continue
             failure = outcome
@@ -222,17 +232,20 @@
             if counted and not self._context.may_repeat(passed.pool):
                 return self._finish_failed(passed, sink, failure)
             if sink.is_open and passed.inputs:
-                # They were given up when the stream began; whoever continues it reads them anew.
-                raise InputsGone("The stream goes on elsewhere and needs its inputs again.")
+                # The stage results were released when the stream began. The target that continues
+                # the stream needs them again.
+                raise InputsGone("The stream continues at another target and needs its inputs.")
 
-    async def _choose_soon(self, passed) -> TargetView | None:
-        """Return the target of an attempt; wait a moment for one that has nearly rested."""
-        patience = clock.monotonic() + passed.route.aim * REST_WAIT_PART
+    async def _wait_for_target(self, passed) -> TargetView | None:
+        """Return the target for an attempt; wait briefly if one becomes available soon."""
+        give_up_at = clock.monotonic() + passed.route.aim * MAX_BACKOFF_WAIT_RATIO
         while (view := await self._choose(passed, book=True)) is None:
             now = clock.monotonic()
-            rest = self._context.board.soonest_rested(passed.pool, passed.tried, now, passed.places)
-            wait = max(_REST_LOOK_SECONDS, rest)
-            if now + wait > patience:
+            next_seconds = self._context.board.next_available_seconds(
+                passed.pool, passed.tried, now, passed.places
+            )
+            wait = max(_AVAILABILITY_POLL_SECONDS, next_seconds)
+            if now + wait > give_up_at:
                 return None
             await asyncio.sleep(wait)
         return view
@@ -263,7 +276,7 @@
             return Failure(FailureKind.HELD_BACK, error.reason)
         except ExchangeError as error:
             self._context.board.on_exchange_error(view, error, clock.monotonic())
-            self._look_into_end(passed, view, error)
+            self._report_target_end(passed, view, error)
             if not error.sent:
                 return Failure(FailureKind.UNREACHABLE, error.reason)
             passed.may_have_run = True
@@ -285,8 +298,11 @@
                 seconds=round(clock.monotonic() - began, 4),
             )
 
-    def _look_into_end(self, passed, view, error):
-        """Find out whether a target that was not leaving ended under a request."""
+    def _report_target_end(self, passed, view, error):
+        """Report an exchange error that may show that the target terminated under the request.
+
+        Targets that are shutting down are expected to terminate and are not reported.
+        """
         ends = self._context.guard.ends
         if not view.is_ready:
             return
@@ -302,18 +318,18 @@
         return view.watched(lambda: self._context.board.sign_of_end(view))
 
     async def _exchange(self, passed, view, attempt, sink, chain):
-        fresh = float("inf") if passed.route.may_run_again else _FRESH_SECONDS
-        patience = self._refusals.turn_patience(passed) if view.limit.is_limited else 0.0
-        await attempt.open(fresh, patience)
+        max_idle_seconds = float("inf") if passed.route.may_run_again else _MAX_IDLE_SECONDS
+        patience = self._refusals.max_turn_wait(passed) if view.limit.is_limited else 0.0
+        await attempt.open(max_idle_seconds, patience)
         began = clock.monotonic()
         attempt.send(passed.wire(view, sink.last_id))
         passed.attempts += 1
-        head = await self._head_in_time(passed, attempt)
+        head = await self._read_head_in_time(passed, attempt)
         self._context.places.on_heard(view.report.data_centre)
         if passed.route.streamed and is_success(head, self._context.names):
-            return await self._pass_events(passed, attempt, sink, chain, view)
-        answer = await attempt.read_whole_after(head)
-        failure = self._judge(view, attempt, answer)
+            return await self._relay_events(passed, attempt, sink, chain, view)
+        response = await attempt.read_body(head)
+        failure = self._classify_response(view, attempt, response)
         if failure is not None:
             passed.may_have_run |= failure.kind is not FailureKind.NOT_RUN
             return failure
@@ -321,92 +337,104 @@
         view.on_success(now - began, now)
         passed.outcome = "complete"
         self._context.guard.served(passed.guarded)
-        return _whole_response(answer)
+        return _to_response(response)
 
-    async def _head_in_time(self, passed, attempt):
-        """Return the head; where another target may be asked, don't wait for it too long."""
+    async def _read_head_in_time(self, passed, attempt):
+        """Return the response head; limit the wait if another target may be tried."""
         if not passed.may_go_elsewhere:
             return await attempt.read_head()
-        patience = self._patience(passed)
+        patience = self._head_timeout(passed)
         try:
             return await before(clock.monotonic() + patience, attempt.read_head())
         except TimeoutError:
-            if passed.remaining() <= MIN_SECONDS:
+            if passed.remaining() <= MIN_ATTEMPT_SECONDS:
                 raise
-            raise NoAnswer("The target takes too long.", sent=True) from None
-
-    def _patience(self, passed) -> float:
-        """Return how long a target may take before another one is asked too."""
-        usual = self._refusals.usual_answer(passed)
-        return max(_LEAST_PATIENCE, passed.route.aim * _PATIENCE_PART, usual * _PATIENCE_FACTOR)
+            raise NoAnswer("The target did not respond in time.", sent=True) from None
+
+    def _head_timeout(self, passed) -> float:
+        """Return how long a target may take to respond before another one is tried, in seconds."""
+        usual = self._refusals.usual_response_seconds(passed)
+        return max(
+            _MIN_HEAD_TIMEOUT_SECONDS,
+            passed.route.aim * _HEAD_TIMEOUT_AIM_RATIO,
+            usual * _HEAD_TIMEOUT_USUAL_FACTOR,
+        )
 
-    def _judge(self, view, attempt, answer) -> Failure | None:
-        """Return how an answer fails, or None if it is good."""
+    def _classify_response(self, view, attempt, response) -> Failure | None:
+        """Return the failure that a response represents, or None for a success."""
         now = clock.monotonic()
-        head = answer.head
+        head = response.head
         if attempt.has_not_run():
             if head.status == 421:
                 view.is_misplaced = True
             elif head.status not in (400, 409):
                 view.avoid_until = max(view.avoid_until, now + pause_after_refusal(head))
-            return Failure(FailureKind.NOT_RUN, f"The target answered {head.status}.", answer)
+            return Failure(FailureKind.NOT_RUN, f"The target answered {head.status}.", response)
         if is_success(head, self._context.names):
             return None
         if 200 <= head.status < 300:
             view.on_failure(now, self._context.random)
-            return Failure(FailureKind.DOUBT, "The answer is not the target's own.")
+            return Failure(
+                FailureKind.DOUBT, "The response is unsigned, or was encoded on the way."
+            )
         if head.status >= 500:
             view.on_failure(now, self._context.random)
-        return Failure(FailureKind.FAILED, f"The target answered {head.status}.", answer)
+        return Failure(FailureKind.FAILED, f"The target answered {head.status}.", response)
 
-    async def _pass_events(self, passed, attempt, sink, chain, view):
+    async def _relay_events(self, passed, attempt, sink, chain, view):
         sent_at = attempt.sent_at
         sink.begin_part(attempt.head)
-        async for chunk in attempt.chunks(self._longest_pause(passed)):
+        async for chunk in attempt.chunks(self._stream_pause_limit(passed)):
             for event in sink.split(chunk):
                 if not sink.is_open:
                     chain.free()
                     self._context.placing.started(passed)
                     now = clock.monotonic()
                     view.on_success(0.0, now)
-                    found = now - sent_at
-                    self._context.learn_engine(passed.prompt.seconds(), found)
+                    first_event_seconds = now - sent_at
+                    self._context.learn_engine(passed.prompt.seconds(), first_event_seconds)
                 await sink.write(event)
         if attempt.head.until_close and sink.partial:
-            raise NoAnswer("The stream ended inside an event.", sent=True)
+            raise NoAnswer("The stream ended within an event.", sent=True)
         passed.outcome = "complete"
         self._context.guard.served(passed.guarded)
         await sink.finish()
 
-    def _longest_pause(self, passed) -> float | None:
-        """Return after how long a pause a stream is continued elsewhere, or None if it can't be.
+    def _stream_pause_limit(self, passed) -> float | None:
+        """Return after how long without data a stream continues at another target, in seconds.
 
-        What can't be continued is waited for: silence is no reason to end an answer.
+        Return None for a stream that can't be continued: a pause is no reason to abort a response.
         """
         if not passed.route.resumable or not passed.may_go_elsewhere:
             return None
-        return max(_LEAST_PAUSE, passed.route.pause_aim * _PAUSE_FACTOR)
+        return max(_MIN_STREAM_PAUSE_SECONDS, passed.route.pause_aim * _STREAM_PAUSE_AIM_FACTOR)
 
     def _finish_failed(self, passed, sink, failure) -> Response | None:
         if sink.is_open:
-            return self._cut(passed, sink, failure.reason if failure else "no target")
-        answer = failure.answer if failure else None
-        own = answer is not None and answer.head.get(self._context.names.signature) is not None
-        if own and answer.head.status not in PROMISES and answer.head.status >= 300:
-            passed.outcome = f"target-{answer.head.status}"
-            return _whole_response(answer)
-        rest = self._context.rest_left(passed.pool, passed.places)
-        if rest:
-            raise self._refusals.resting(passed, rest)
+            return self._abort_stream(passed, sink, failure.reason if failure else "no target")
+        response = failure.response if failure else None
+        is_signed = (
+            response is not None and response.head.get(self._context.names.signature) is not None
+        )
+        if (
+            is_signed
+            and response.head.status not in NOT_RUN_STATUSES
+            and response.head.status >= 300
+        ):
+            passed.outcome = f"target-{response.head.status}"
+            return _to_response(response)
+        seconds = self._context.rest_left(passed.pool, passed.places)
+        if seconds:
+            raise self._refusals.backoff_refusal(passed, seconds)
         reason = failure.reason if failure else "No target can take it."
         raise self._refusals.refusal(passed, "not-served", reason)
 
-    def _cut(self, passed, sink, why):
-        """End a stream so that it can't be taken for whole."""
+    def _abort_stream(self, passed, sink, why):
+        """Abort a stream so that the caller can't take it for complete."""
         passed.outcome = "cut"
         decision("cut", request=passed.request_id, why=why, events=passed.events)
         sink.abort()
 
 
-def _whole_response(answer: Answer) -> Response:
-    return Response(answer.head.status, answer_headers(answer.head), answer.body)
+def _to_response(response: TargetResponse) -> Response:
+    return Response(response.head.status, answer_headers(response.head), response.body)
--- a/traystall/passthrough/health/asking.py
+++ b/traystall/passthrough/health/asking.py
@@ -48,7 +48,7 @@
         """Count what is sent against the word of a target, whoever sends it: nothing should be."""
         if view.asked.rests(clock.monotonic()):
             metrics.sent_in_rest_total.inc({"pool": view.report.pool})
-        if view.limit.is_limited and not connection.sending.is_covered:
+        if view.limit.is_limited and not connection.sent_request.is_covered:
             metrics.sent_beyond_limit_total.inc({"pool": view.report.pool})
 
     def review(self, views: Iterable[TargetView]) -> None:
@@ -74,16 +74,16 @@
         word = read_limit(values)
         if word is None:
             return
-        sending = connection.sending
+        sent_request = connection.sent_request
         answered = head.get(self._names.request_id)
-        in_order = sending.request_id is None or answered in (None, sending.request_id)
+        in_order = sent_request.request_id is None or answered in (None, sent_request.request_id)
         if word.per_second is None and not (
-            sending.is_work and in_order and head.status < _FAILURES
+            sent_request.is_work and in_order and head.status < _FAILURES
         ):
             return
         if word.per_second is not None:
             view.limited_on = connection
-        view.permits.hear(view.report.life, word, sending.sent_at, answered or "")
+        view.permits.hear(view.report.life, word, sent_request.sent_at, answered or "")
 
     def _rest(self, view, connection, head, seconds, values):
         request = self._request_of(head)
--- a/traystall/passthrough/health/board.py
+++ b/traystall/passthrough/health/board.py
@@ -10,7 +10,7 @@
 
 from traystall.passthrough.exceptions import ExchangeError
 from traystall.passthrough.exchange.connection import (
-    ConnectionWatch,
+    ConnectionObserver,
     ResponseHead,
     TargetConnection,
 )
@@ -184,11 +184,11 @@
 
     def _make_view(self, row, asked, limit) -> TargetView:
         most = self._max_connections
-        watch = ConnectionWatch(
+        observer = ConnectionObserver(
             lambda connection: self.on_send(view, connection),
             lambda connection, head: self.on_head(view, connection, head),
         )
-        pool = ConnectionPool(row.report.address, lambda: most(row.report.pool), watch)
+        pool = ConnectionPool(row.report.address, lambda: most(row.report.pool), observer)
         view = TargetView(row.report, pool, cold_until=row.cold_until, asked=asked)
         if self._permits is not None:
             view.permits = self._permits
@@ -307,7 +307,7 @@
         known = [view for view in self._views.values() if view.report.pool == name]
         return {view.identity for view in known if not view.may_get_work(now)}
 
-    def soonest_rested(
+    def next_available_seconds(
         self, name: str, excluded: set[str], now: float, places: tuple[str, ...] = ()
     ) -> float:
         """Return how long the next target of a pool is not asked, in seconds; inf if none is so.
