--- a/tests/passthrough/test_cold.py
+++ b/tests/passthrough/test_cold.py
@@ -13,7 +13,7 @@
     ColdBook,
     ColdRule,
     coordinator_allowance,
-    own_allowance,
+    gateway_allowance,
 )
 from traystall.registry.models import TargetReport
 from traystall.registry.records import to_record, to_report
@@ -30,7 +30,9 @@
 @given(RULES, st.floats(0.5, 200.0), st.integers(1, 120))
 def test_what_gateways_take_by_themselves_stays_within_the_bound(rule, per_second, count):
     names = gateways(count)
-    taken = [own_allowance(rule, per_second, "t", name, names, dealt=True) for name in names]
+    taken = [
+        gateway_allowance(rule, per_second, "t", name, names, divides_all=True) for name in names
+    ]
     assert sum(taken) <= rule.bound(per_second)
     assert max(taken) - min(taken) <= 1
 
@@ -39,7 +41,9 @@
 @example(ColdRule(), 199.99999999999997, 1)
 def test_two_coordinators_and_all_others_stay_within_the_bound(rule, per_second, count):
     names = gateways(count)
-    alone = sum(own_allowance(rule, per_second, "t", name, names, dealt=False) for name in names)
+    alone = sum(
+        gateway_allowance(rule, per_second, "t", name, names, divides_all=False) for name in names
+    )
     acting = 2 * coordinator_allowance(rule, per_second)
     assert acting + alone <= rule.bound(per_second)
 
@@ -50,14 +54,14 @@
 
 
 def test_gateway_that_no_directory_lists_counts_itself():
-    assert own_allowance(ColdRule(), 10.0, "t", "new", [], dealt=True) == 9
-    assert own_allowance(ColdRule(), 10.0, "t", "new", gateways(8), dealt=True) == 1
+    assert gateway_allowance(ColdRule(), 10.0, "t", "new", [], divides_all=True) == 9
+    assert gateway_allowance(ColdRule(), 10.0, "t", "new", gateways(8), divides_all=True) == 1
 
 
 def test_book_counts_a_window():
     book = ColdBook()
     for at in (0.0, 0.5, 1.0):
-        book.note("t", at)
+        book.record("t", at)
     assert book.count("t", 1.0) == 3
     assert book.count("t", WINDOW_SECONDS) == 2
     assert book.count("other", 1.0) == 0
@@ -148,7 +152,7 @@
             gateway.context.board.merge(cold, clock.monotonic())
             for _ in range(20):
                 assert (await gateway.call())[0] == 200
-            allowed = own_allowance(ColdRule(), 6.0, "p-0", "gateway-1", [], dealt=True)
+            allowed = gateway_allowance(ColdRule(), 6.0, "p-0", "gateway-1", [], divides_all=True)
             assert 0 < len(targets[0].runs) <= allowed
 
     run(story())
--- a/traystall/passthrough/health/__init__.py
+++ b/traystall/passthrough/health/__init__.py
@@ -1,1 +1,1 @@
-"""What is known of targets and data centres."""
+"""State and reachability of targets and data centres, as known at one gateway."""
--- a/traystall/passthrough/health/asking.py
+++ b/traystall/passthrough/health/asking.py
@@ -1,4 +1,8 @@
-"""Hear what targets ask for in the heads of their answers, whatever was asked of them."""
+"""Read the notices that targets put into the heads of their responses.
+
+A target can ask for a backoff period (Retry-After), announce that it shuts down, or name a rate
+limit for all gateways together. Every response can carry a notice, whatever the request was.
+"""
 
 from collections.abc import Callable, Iterable
 
@@ -10,61 +14,64 @@
 from traystall.systems.rests import RETRY_AFTER, TURNED_AWAY, rest_seconds
 from traystall.systems.target_limits import read_limit
 
-# Another life answers so; what it says is not said of the one that was asked.
+# Another incarnation at the address responds with this status. Its notices do not concern the
+# requested one.
 _MISDIRECTED = 421
-# Statuses from here on are failures, after which one that has rested still gets little.
-_FAILURES = 500
-# So much of a header's value is logged.
-_LOGGED_CHARACTERS = 40
+# A response with this status or above is a failure. It does not end the phase after a backoff
+# period in which a target gets only a few requests.
+_FIRST_FAILURE_STATUS = 500
+# Header values are truncated to this length in the log.
+_MAX_LOGGED_CHARACTERS = 40
 
 
 class AskingWatch:
-    """Take in the head of every answer of every target, and log when a rest or a leave begins.
+    """Process the notices in all responses, and log the start and end of backoff periods.
 
-    `on_leaving()` is called when a target has said that it leaves.
+    `on_shutdown()` is called when a target announces that it shuts down.
     """
 
-    def __init__(self, names: HeaderNames, on_leaving: Callable[[], None]):
+    def __init__(self, names: HeaderNames, on_shutdown: Callable[[], None]):
         self._names = names
-        self._on_leaving = on_leaving
-        # Those that rest, until that is logged as over.
-        self._resting: dict[str, TargetView] = {}
+        self._on_shutdown = on_shutdown
+        # Targets in a backoff period whose end is not yet logged, by incarnation.
+        self._in_backoff: dict[str, TargetView] = {}
 
     def heard(self, view: TargetView, connection: TargetConnection, head: ResponseHead) -> None:
-        """Take in the head of an answer."""
+        """Process the notices in a response head."""
         if head.status == _MISDIRECTED:
             return
         values = head.get_all(RETRY_AFTER) if head.status == TURNED_AWAY else []
         seconds = rest_seconds(values, head.get("Date")) if values else 0.0
         if seconds:
-            self._rest(view, connection, head, seconds, values)
-        elif head.status < _FAILURES:
+            self._start_backoff(view, connection, head, seconds, values)
+        elif head.status < _FIRST_FAILURE_STATUS:
             view.asked.on_answer(clock.monotonic())
-        self._hear_limit(view, connection, head)
+        self._process_limit(view, connection, head)
         if head.get(self._names.leaving) not in (None, "", "0") and not view.asked.leaves:
-            self._leave(view, head)
+            self._process_shutdown(view, head)
 
     def sent(self, view: TargetView, connection: TargetConnection) -> None:
-        """Count what is sent against the word of a target, whoever sends it: nothing should be."""
+        """Count requests that violate a backoff period or a rate limit; both counts should be 0."""
         if view.asked.rests(clock.monotonic()):
             metrics.sent_in_rest_total.inc({"pool": view.report.pool})
         if view.limit.is_limited and not connection.sent_request.is_covered:
             metrics.sent_beyond_limit_total.inc({"pool": view.report.pool})
 
     def review(self, views: Iterable[TargetView]) -> None:
-        """Log the rests that are over, and publish how many targets rest and leave."""
+        """Log the backoff periods that are over, and publish the gauges."""
         now = clock.monotonic()
-        for life, view in list(self._resting.items()):
+        for life, view in list(self._in_backoff.items()):
             if not view.asked.rests(now):
-                del self._resting[life]
+                del self._in_backoff[life]
                 decision("target-rested", target=life, pool=view.report.pool)
-        metrics.resting_targets.set({}, len(self._resting))
+        metrics.resting_targets.set({}, len(self._in_backoff))
         metrics.leaving_targets.set({}, sum(view.asked.leaves for view in views))
 
-    def _hear_limit(self, view, connection, head):
-        """Take in whether an answer names a limit for all gateways together.
+    def _process_limit(self, view, connection, head):
+        """Process the rate limit in a response, or its absence.
 
-        Only an answer to work that came in order, and is no failure, shows that one has ended.
+        A missing limit ends an earlier one only if the response belongs to the request sent last,
+        that request was new work, and the response is no failure.
         """
         if view.permits is None:
             return
@@ -78,21 +85,21 @@
         answered = head.get(self._names.request_id)
         in_order = sent_request.request_id is None or answered in (None, sent_request.request_id)
         if word.per_second is None and not (
-            sent_request.is_work and in_order and head.status < _FAILURES
+            sent_request.is_work and in_order and head.status < _FIRST_FAILURE_STATUS
         ):
             return
         if word.per_second is not None:
-            view.limited_on = connection
+            view.limit_connection = connection
         view.permits.hear(view.report.life, word, sent_request.sent_at, answered or "")
 
-    def _rest(self, view, connection, head, seconds, values):
-        request = self._request_of(head)
+    def _start_backoff(self, view, connection, head, seconds, values):
+        request = self._request_id(head)
         now = clock.monotonic()
         was_resting = view.asked.rests(now)
         if not view.asked.ask_rest(seconds, request, now):
             return
-        view.asked_on = connection
-        self._resting[view.report.life] = view
+        view.backoff_connection = connection
+        self._in_backoff[view.report.life] = view
         if not was_resting:
             metrics.rests_total.inc({"pool": view.report.pool})
             decision(
@@ -100,20 +107,20 @@
                 target=view.report.life,
                 pool=view.report.pool,
                 seconds=seconds,
-                value=", ".join(values)[:_LOGGED_CHARACTERS],
+                value=", ".join(values)[:_MAX_LOGGED_CHARACTERS],
                 request=request,
             )
 
-    def _leave(self, view, head):
+    def _process_shutdown(self, view, head):
         view.asked.leaves = True
         decision(
             "target-leaves",
             target=view.report.life,
             pool=view.report.pool,
-            value=(head.get(self._names.leaving) or "")[:_LOGGED_CHARACTERS],
-            request=self._request_of(head),
+            value=(head.get(self._names.leaving) or "")[:_MAX_LOGGED_CHARACTERS],
+            request=self._request_id(head),
         )
-        self._on_leaving()
+        self._on_shutdown()
 
-    def _request_of(self, head) -> str:
-        return (head.get(self._names.request_id) or "")[:_LOGGED_CHARACTERS]
+    def _request_id(self, head) -> str:
+        return (head.get(self._names.request_id) or "")[:_MAX_LOGGED_CHARACTERS]
--- a/traystall/passthrough/health/board.py
+++ b/traystall/passthrough/health/board.py
@@ -1,6 +1,7 @@
-"""Targets as one gateway sees them: what they report, what it has running there, how they do.
+"""The targets known at one gateway, with their reported state and what the gateway has observed.
 
-Where an operator has evacuated a data centre, its targets are known but not usable.
+A target is known by its identity; each start of its process is one incarnation. Targets of a data
+centre that an operator has evacuated remain known, but get no new work.
 """
 
 from collections import Counter
@@ -23,23 +24,32 @@
 from traystall.tables.asked import Asked
 from traystall.tables.target_limits import TargetLimit
 
+# A target is avoided after this many consecutive failures. The avoidance period doubles with each
+# further failure, from the first value up to the maximum.
 FAILURES_TO_AVOID = 2
 _FIRST_AVOID_SECONDS = 0.4
 _MAX_AVOID_SECONDS = 4.0
-# Weight of the newest duration in the learned mean.
-_LEARNING = 0.2
-# What was learned of a target counts half after so many seconds without an answer: one that was
-# slow for a moment got nothing beside an idle one, and so nothing better was ever learned.
+# Weight of the newest duration in the moving average of durations.
+_LEARNING_WEIGHT = 0.2
+# The learned duration loses half of its weight after this time without a response. Without the
+# decay, a target that was slow for a moment got no work beside an idle one, so its average never
+# recovered.
 _HALF_LIFE_SECONDS = 5.0
-# A ready target that has been silent this long, in seconds, is used only if no other is left.
-SILENT_SECONDS = 4.0
+# A ready target that has not reported for this time is used only if no other is left.
+SILENT_TARGET_SECONDS = 4.0
 
 
 class TargetView(msgspec.Struct):
-    """Hold one life of a target with what this gateway has learned of it.
+    """Hold one incarnation of a target with what this gateway has learned about it.
 
-    Durations are seconds, times monotonic seconds; `ratio` is how long the
-    target takes compared with others of its pool.
+    Durations are in seconds, points in time in monotonic seconds. `ratio` is the duration of the
+    target relative to others of its pool. `cold_until` is when the cold start ends; until then the
+    target gets only few requests.
+
+    `availability` holds the backoff period and the shutdown notice that the target sent to this
+    gateway. `limit` is its rate limit for all gateways together, and `permits` obtains the permits
+    to send within that limit. `backoff_connection` and `limit_connection` are the connections on
+    which the latest backoff notice and the latest rate limit arrived.
     """
 
     report: TargetReport
@@ -49,87 +59,82 @@
     learned_at: float = float("-inf")
     failures: int = 0
     avoid_until: float = float("-inf")
-    avoided: int = 0
+    avoid_count: int = 0
     is_misplaced: bool = False
-    # How long it takes beside the others of its pool.
     ratio: float = 1.0
-    # Until when it counts as cold: it gets little then.
     cold_until: float = float("-inf")
-    # What it has asked of this gateway, and the connection on which it asked for rest.
     asked: Asked = msgspec.field(default_factory=Asked)
-    asked_on: TargetConnection | None = None
-    # What it takes from all gateways together, who lends that, and the connection on which it was
-    # named last.
+    backoff_connection: TargetConnection | None = None
     limit: TargetLimit = msgspec.field(default_factory=TargetLimit)
     permits: Permits | None = None
-    limited_on: TargetConnection | None = None
+    limit_connection: TargetConnection | None = None
 
     @property
     def is_ready(self) -> bool:
-        """Return whether it has said nowhere that it leaves."""
+        """Return whether the target is ready and has not announced its shutdown."""
         return self.report.state is RegisteredState.READY and not self.asked.leaves
 
     def may_get_work(self, now: float) -> bool:
-        """Return whether new work may be sent now, by what it has asked for and reported."""
+        """Return whether the target's state, its notices and its rate limit allow new work now."""
         return self.is_ready and self.asked.may_get_work(now) and not self.limit.is_closed(now)
 
     def is_covered(self, permit: Permit | None) -> bool:
-        """Return whether a request may be sent now by what it takes from all gateways."""
+        """Return whether the target's rate limit allows a request with `permit` now."""
         if not self.limit.is_limited:
             return True
         return self.permits is not None and self.permits.covers(self.report.life, permit)
 
     def blocked_until(self) -> float:
-        """Return when it may be asked for something again, by its rest and its limit."""
+        """Return when the backoff period and the wait for its rate limit are both over."""
         closed = self.limit.closed_until if self.limit.is_limited else float("-inf")
         return max(self.asked.rest_until, closed)
 
     @property
     def identity(self) -> str:
-        """Return the name of this life of the target."""
+        """Return the identity of the target."""
         return self.report.identity
 
     def watched(self, evidence: Callable[[], str]) -> WatchedTarget:
-        """Return what is looked into when a connection to it breaks."""
+        """Return the description that is examined when a connection to the target breaks."""
         report = self.report
         return WatchedTarget(
             report.life, report.address, report.pool, evidence, lambda: self.learned_at
         )
 
     def usual_seconds(self, mean: float, now: float) -> float:
-        """Return how long it takes; what was learned fades towards `mean`, that of its pool."""
+        """Return the expected duration; the learned one decays towards `mean`, that of its pool."""
         if not self.mean_seconds:
             return mean
         weight = 0.5 ** (max(0.0, now - self.learned_at) / _HALF_LIFE_SECONDS)
         return mean + (self.mean_seconds - mean) * weight
 
     def on_success(self, seconds: float, now: float) -> None:
-        """Learn from an answer that came at `now`."""
+        """Record a successful response with its duration."""
         self.learned_at = now
         self.failures = 0
-        self.avoided = 0
+        self.avoid_count = 0
         if self.mean_seconds:
-            self.mean_seconds += _LEARNING * (seconds - self.mean_seconds)
+            self.mean_seconds += _LEARNING_WEIGHT * (seconds - self.mean_seconds)
         else:
             self.mean_seconds = seconds
 
     def on_failure(self, now: float, random) -> None:
-        """Count a failure; keep work away for a growing time after several in a row."""
+        """Record a failure; avoid the target with exponential backoff after several in a row."""
         self.failures += 1
         if self.failures < FAILURES_TO_AVOID:
             return
-        seconds = min(_MAX_AVOID_SECONDS, _FIRST_AVOID_SECONDS * 2**self.avoided)
-        self.avoided += 1
+        seconds = min(_MAX_AVOID_SECONDS, _FIRST_AVOID_SECONDS * 2**self.avoid_count)
+        self.avoid_count += 1
         self.avoid_until = max(self.avoid_until, now + seconds * random.uniform(0.75, 1.25))
 
     def on_unreachable(self, now: float, random) -> None:
-        """Keep work away at once: no connection came up."""
+        """Avoid the target immediately, because no connection could be established."""
         self.failures = max(self.failures, FAILURES_TO_AVOID - 1)
         self.on_failure(now, random)
 
 
 class TargetBoard:
-    """Hold the targets of all pools, fed by the registry."""
+    """Hold the targets of all pools, as the registry reports them."""
 
     def __init__(
         self, random, max_connections, places: DataCentreWatch, permits: Permits | None = None
@@ -144,33 +149,34 @@
         # Data centres whose targets get no new work.
         self.evacuated: frozenset[str] = frozenset()
         self.on_change: list = []
-        # Told of what is sent to targets, and of the heads of their answers.
+        # Callbacks for each request to a target and each response head from one.
         self.on_send: Callable[[TargetView, TargetConnection], None] = lambda view, connection: None
         self.on_head: Callable[[TargetView, TargetConnection, ResponseHead], None] = (
             lambda view, connection, head: None
         )
-        # Grows whenever a target comes, goes or changes.
+        # Incremented whenever a target is added, removed or changed.
         self.generation = 0
 
     def merge(self, report: TargetReport, seen_at: float) -> None:
-        """Take in what a control daemon tells of a target."""
+        """Merge a report about a target that came from a control daemon."""
         if not self.registry.merge(report, seen_at):
             return
         row = self.registry.get(report.identity)
         view = self._views.get(report.identity)
         asked, limit = Asked(), None
         if view is not None and 0 < view.report.started < row.report.started:
-            # Connections, failures and learned times belong to the life that has ended. No
-            # connection outlives it: what was asked on one that is open, the new life has asked.
-            is_open = view.asked_on is not None and not view.asked_on.is_closed
+            # Connections, failures and learned durations belong to the previous incarnation. Its
+            # connections are closed when it ends, so a notice that arrived on a connection that is
+            # still open was sent by the new incarnation.
+            is_open = view.backoff_connection is not None and not view.backoff_connection.is_closed
             asked = view.asked.for_next_life(is_open)
-            if view.limited_on is not None and not view.limited_on.is_closed:
+            if view.limit_connection is not None and not view.limit_connection.is_closed:
                 limit = view.limit
             self._drop(report.identity)
             view = None
         if row.report.state is RegisteredState.GONE:
             if view is not None:
-                # Whoever still runs a request there sees that its end was announced.
+                # Requests that still run on the target see that its end was announced.
                 view.report = row.report
             self._drop(report.identity)
         elif view is None:
@@ -183,12 +189,14 @@
         self._index()
 
     def _make_view(self, row, asked, limit) -> TargetView:
-        most = self._max_connections
+        max_connections = self._max_connections
         observer = ConnectionObserver(
             lambda connection: self.on_send(view, connection),
             lambda connection, head: self.on_head(view, connection, head),
         )
-        pool = ConnectionPool(row.report.address, lambda: most(row.report.pool), observer)
+        pool = ConnectionPool(
+            row.report.address, lambda: max_connections(row.report.pool), observer
+        )
         view = TargetView(row.report, pool, cold_until=row.cold_until, asked=asked)
         if self._permits is not None:
             view.permits = self._permits
@@ -196,19 +204,19 @@
         return view
 
     def saw(self, identity: str, seen_at: float) -> None:
-        """Take in that a target has reported."""
+        """Record that a target has reported."""
         self.registry.saw(identity, seen_at)
 
     def view(self, identity: str) -> TargetView | None:
-        """Return one target, or None."""
+        """Return the target with this identity, or None."""
         return self._views.get(identity)
 
     def identities(self) -> set[str]:
-        """Return the names of all targets that are known."""
+        """Return the identities of all known targets."""
         return set(self._views)
 
     def sign_of_end(self, view: TargetView) -> str:
-        """Return how it shows that a life of a target has ended, or an empty string."""
+        """Return the evidence that an incarnation of a target has ended, or an empty string."""
         if view.is_misplaced:
             return "another life answers at its address"
         known = self._views.get(view.identity)
@@ -220,7 +228,7 @@
         return ""
 
     def at_address(self, address: str) -> TargetView | None:
-        """Return the newest target known at IP:PORT, or None."""
+        """Return the most recently seen target at IP:PORT, or None."""
         found = [view for view in self._views.values() if view.report.address == address]
         return max(found, key=lambda view: self._seen_at(view), default=None)
 
@@ -229,11 +237,13 @@
         self.evacuated = data_centres
         self._index()
 
-    def expect_cold(self, data_centre: str, cold_seconds: Callable[[str], float], now: float):
-        """Take the targets of a data centre for cold until they tell otherwise.
+    def mark_data_centre_cold(
+        self, data_centre: str, cold_seconds: Callable[[str], float], now: float
+    ):
+        """Treat the targets of a data centre as cold until they report otherwise.
 
-        They rested: what they say themselves may come after the first work for them.
-        `cold_seconds(pool)` is how long targets of a pool stay cold.
+        The targets were idle, and their own reports may arrive after the first requests.
+        `cold_seconds(pool)` is the duration of a cold start in a pool.
         """
         for view in self._views.values():
             if view.report.data_centre == data_centre:
@@ -241,15 +251,18 @@
                 view.cold_until = max(view.cold_until, until)
 
     def pool(self, name: str) -> list[TargetView]:
-        """Return the targets of a pool that have not said that they leave."""
+        """Return the targets of a pool that are ready and not shutting down."""
         return self._pools.get(name, [])
 
     def data_centres(self, name: str) -> Counter[str]:
-        """Return how many targets of a pool each data centre has that is not evacuated."""
+        """Return the number of targets of a pool per data centre, without evacuated ones."""
         return Counter(view.report.data_centre for view in self.inside(name))
 
     def inside(self, name: str, places: tuple[str, ...] = ()) -> list[TargetView]:
-        """Return the targets of a pool in `places` (none: anywhere) that are not evacuated."""
+        """Return the targets of a pool in the data centres `places`, without evacuated ones.
+
+        An empty `places` allows all data centres.
+        """
         return [
             view
             for view in self.pool(name)
@@ -265,12 +278,14 @@
         places: tuple[str, ...] = (),
         closed_too: bool = False,
     ) -> list[TargetView]:
-        """Return the targets of a pool to which work may go now, doubtful ones only if all are.
+        """Return the targets of a pool that may get work now; suspected ones only if all are.
+
+        Targets outside the data centres `places`, in evacuated data centres or in a backoff period
+        are always excluded, even if all others are suspected of a failure. Targets whose rate limit
+        is used up by other gateways for the moment are excluded unless `include_closed` is set.
 
-        Where data centres are named, targets outside them are left out first, and
-        those of evacuated ones always: no doubt about the others brings them back. Neither does
-        it bring back what has asked for rest. What takes no more from this gateway for the moment,
-        since others have its limit, is left out unless `closed_too`.
+        The remaining targets are narrowed down to those without recent failures, then to reachable
+        data centres, then to targets that report. If a step leaves none, the step before counts.
         """
         ready = [
             view
@@ -279,30 +294,32 @@
             and view.asked.may_get_work(now)
             and (closed_too or not view.limit.is_closed(now))
         ]
-        sound = [view for view in ready if now >= view.avoid_until]
-        near = [view for view in sound if not self.places.is_out(view.report.data_centre, now)]
-        heard = [view for view in near if not self._is_silent(view, registry_heard_at)]
-        return heard or near or sound or ready
+        healthy = [view for view in ready if now >= view.avoid_until]
+        reachable = [
+            view for view in healthy if not self.places.is_out(view.report.data_centre, now)
+        ]
+        reporting = [view for view in reachable if not self._is_silent(view, registry_heard_at)]
+        return reporting or reachable or healthy or ready
 
     def rest_left(self, name: str, now: float, places: tuple[str, ...] = ()) -> float:
-        """Return how long all targets of a pool may not be asked, in seconds; 0 if one may.
+        """Return how long all targets of a pool are unavailable, in seconds; 0 if one is available.
 
-        They rest, or others have what they take.
+        The cause is a backoff period, or a rate limit that other gateways have used up.
         """
         found = [view for view in self.inside(name, places) if not view.is_misplaced]
         return max(0.0, min((view.blocked_until() - now for view in found), default=0.0))
 
     def whole_limit(self, name: str, places: tuple[str, ...] = ()) -> float | None:
-        """Return what all targets of a pool take a second together, None if one names no limit."""
+        """Return the sum of the rate limits of a pool per second, or None if a target has none."""
         found = [view for view in self.inside(name, places) if not view.is_misplaced]
         if not found or not all(view.limit.is_limited for view in found):
             return None
         return sum(view.limit.per_second for view in found)
 
     def held_back(self, name: str, now: float) -> set[str]:
-        """Return the names of the targets of a pool that get no work from here.
+        """Return the identities of the targets of a pool that get no work from this gateway.
 
-        They rest or leave, or others have what they take.
+        They are in a backoff period, shutting down, or their rate limit is used up.
         """
         known = [view for view in self._views.values() if view.report.pool == name]
         return {view.identity for view in known if not view.may_get_work(now)}
@@ -310,10 +327,11 @@
     def next_available_seconds(
         self, name: str, excluded: set[str], now: float, places: tuple[str, ...] = ()
     ) -> float:
-        """Return how long the next target of a pool is not asked, in seconds; inf if none is so.
+        """Return in how many seconds the next unavailable target of a pool becomes available.
 
-        It rests, or others have what it takes. One that has just rested and waits for its first
-        answer counts as rested in no time.
+        The target is in a backoff period, or its rate limit is used up. A target that waits for its
+        first response after a backoff period counts with 0 seconds. Return infinity if no target is
+        unavailable.
         """
         return min(
             (
@@ -325,29 +343,29 @@
         )
 
     def views(self) -> list[TargetView]:
-        """Return all targets that are known."""
+        """Return all known targets."""
         return list(self._views.values())
 
     def lives(self) -> set[str]:
-        """Return the names of the lives of all targets that are known."""
+        """Return the incarnations of all known targets."""
         return {view.report.life for view in self._views.values()}
 
     def data_centre_of(self, life: str) -> str:
-        """Return where a life of a target is, an empty text if it is not known."""
+        """Return the data centre of an incarnation of a target, or an empty string."""
         view = self._views.get(life) or self._views.get(life.rpartition("@")[0])
         return view.report.data_centre if view is not None else ""
 
     def reindex(self) -> None:
-        """Take in that a target has said in an answer that it leaves."""
+        """Rebuild the pools after a target has announced its shutdown in a response."""
         self._index()
 
     def mean_seconds(self, name: str) -> float:
-        """Return the middle of what the targets of a pool take, 0 if nothing is known."""
+        """Return the median over the targets of a pool of their mean durations, or 0."""
         known = sorted(view.mean_seconds for view in self.pool(name) if view.mean_seconds)
         return known[len(known) // 2] if known else 0.0
 
     def on_exchange_error(self, view: TargetView, error: ExchangeError, now: float) -> None:
-        """Learn from an attempt that failed on its way."""
+        """Record a failed exchange with a target."""
         if error.silent:
             self.places.on_silent(view.report.data_centre, view.identity, now)
         if error.silent or not error.sent:
@@ -365,8 +383,8 @@
         return row.seen_at if row else float("-inf")
 
     def _is_silent(self, view, registry_heard_at):
-        """Return whether the registry still answers but has long not heard of the target."""
-        return registry_heard_at - self._seen_at(view) > SILENT_SECONDS
+        """Return whether the registry responds but has not heard of the target for long."""
+        return registry_heard_at - self._seen_at(view) > SILENT_TARGET_SECONDS
 
     def _drop(self, identity):
         view = self._views.pop(identity, None)
--- a/traystall/passthrough/health/cold.py
+++ b/traystall/passthrough/health/cold.py
@@ -1,11 +1,11 @@
-"""Bound what cold targets get. Pure; times are monotonic seconds.
-
-A target that has just started, or went cold again, falls over when it gets many
-more requests than it bears, from all gateways together. The bound therefore has
-to hold in sum without the gateways talking, whatever is cut: whoever does
-something for all (places the prompts of a pool) takes one part, and what is
-left is dealt out by the target's name, so that a gateway that is on its own
-takes its part or none.
+"""Rate limits for targets in a cold start. Performs no I/O; times are monotonic seconds.
+
+A target that has just started, or has become cold again, fails if it gets many more requests from
+all gateways together than it can handle. The sum over all gateways therefore has to stay within a
+bound without coordination, also during a network partition. A gateway that acts for all others, as
+the placer of a pool's prompts does, gets one share of the bound. The remainder is divided among the
+gateways by rendezvous hashing on the target's name, so that a gateway that acts on its own knows
+its share, which may be 0.
 """
 
 import math
@@ -15,49 +15,56 @@
 
 from traystall.systems.rendezvous import rendezvous_order
 
-# Requests count over somewhat more than the second in which they must not be too many: two that
-# leave so far apart may still arrive within one: a lost packet takes 0.2 s and more.
+# Requests are counted over slightly more than the one second of the bound. Two requests sent this
+# far apart may still arrive within one second, because a lost packet adds 0.2 s or more.
 WINDOW_SECONDS = 1.25
-# The part of the bound for one gateway that acts for all. Two may take themselves for it, on the
-# two sides of a cut or while it changes; together they leave a fifth to gateways on their own.
-_COORDINATOR_PART = 0.4
-# The part of the bound that is dealt out where no gateway acts for all, the rest being kept for
-# gateways that nobody knows of yet; and where one does.
-_DEALT_PART = 0.9
-_LEFT_PART = 0.2
+# Share of the bound for a gateway that acts for all. Two gateways may act at the same time, on both
+# sides of a network partition or during a change; together they leave a fifth of the bound to
+# gateways that act on their own.
+_COORDINATOR_RATIO = 0.4
+# Share of the bound that is divided among all gateways if no gateway acts for all. The remainder is
+# reserved for gateways that are not yet in the directory.
+_DIVIDED_RATIO = 0.9
+# Share of the bound that is divided among all gateways if one of them acts for all.
+_DIVIDED_RATIO_WITH_COORDINATOR = 0.2
 
 
 class ColdRule(msgspec.Struct, frozen=True):
-    """Allow a cold target `excess` x what its pool declares + `slack` requests in a second."""
+    """Bound the requests per second to a cold target: `excess` x the pool's rate + `slack`."""
 
     excess: float = 1.0
     slack: float = 0.0
 
     def bound(self, per_second: float) -> float:
-        """Return how many requests all gateways together may send in a second."""
+        """Return how many requests per second all gateways together may send."""
         return per_second * self.excess + self.slack
 
     def whole_bound(self, per_second: float) -> int:
-        """Return the same in whole requests.
+        """Return the bound in whole requests; shares are computed from this value.
 
-        Parts are taken of this: those of 199.99999999999997 are rounded up and add up to 200.
+        Shares of a fractional bound can exceed it: those of 199.99999999999997 are rounded up by
+        floating-point multiplication and add up to 200.
         """
         return math.floor(self.bound(per_second))
 
 
 def coordinator_allowance(rule: ColdRule, per_second: float) -> int:
-    """Return how many a gateway that acts for all may send: what the target bears, or its part."""
-    return max(1, int(min(per_second, rule.whole_bound(per_second) * _COORDINATOR_PART)))
+    """Return how many requests a gateway that acts for all may send to a cold target.
+
+    The value is the rate that the pool declares, or the coordinator's share if that is less.
+    """
+    return max(1, int(min(per_second, rule.whole_bound(per_second) * _COORDINATOR_RATIO)))
 
 
-def own_allowance(
-    rule: ColdRule, per_second: float, target: str, own: str, gateways: list[str], dealt: bool
+def gateway_allowance(
+    rule: ColdRule, per_second: float, target: str, own: str, gateways: list[str], divides_all: bool
 ) -> int:
-    """Return how many a gateway may send by itself; the sum over all stays within the bound.
+    """Return how many requests a gateway may send on its own to a cold target.
 
-    `dealt` says that no gateway acts for all: the whole bound is dealt out then.
+    The sum over all gateways stays within the bound. `divides_all` tells that no gateway acts for
+    all, so that the gateways divide the whole bound among them.
     """
-    part = _DEALT_PART if dealt else _LEFT_PART
+    part = _DIVIDED_RATIO if divides_all else _DIVIDED_RATIO_WITH_COORDINATOR
     whole = int(rule.whole_bound(per_second) * part)
     names = gateways if own in gateways else [*gateways, own]
     share, left = divmod(whole, len(names))
@@ -67,13 +74,13 @@
 
 
 class ColdBook:
-    """Count what this gateway has sent to each target lately."""
+    """Count the requests that this gateway has sent to each target within the window."""
 
     def __init__(self):
         self._sent: dict[str, deque[float]] = {}
 
     def count(self, target: str, now: float) -> int:
-        """Return how many requests a target got within the window."""
+        """Return how many requests were sent to a target within the window."""
         sent = self._sent.get(target)
         if sent is None:
             return 0
@@ -81,12 +88,12 @@
             sent.popleft()
         return len(sent)
 
-    def note(self, target: str, now: float) -> None:
-        """Count a request that is about to be sent."""
+    def record(self, target: str, now: float) -> None:
+        """Record a request that is about to be sent."""
         self.count(target, now)
         self._sent.setdefault(target, deque()).append(now)
 
     def retain(self, targets: set[str]) -> None:
-        """Forget targets that are gone."""
+        """Remove all targets that are not in `targets`."""
         for target in self._sent.keys() - targets:
             del self._sent[target]
--- a/traystall/passthrough/health/cold_targets.py
+++ b/traystall/passthrough/health/cold_targets.py
@@ -1,4 +1,4 @@
-"""Keep what this gateway sends to cold targets within its part of what they bear."""
+"""Keep the requests of this gateway to cold targets within its share of their rate limit."""
 
 from traystall.core import clock
 from traystall.passthrough.health.board import TargetView
@@ -6,59 +6,60 @@
     ColdBook,
     ColdRule,
     coordinator_allowance,
-    own_allowance,
+    gateway_allowance,
 )
 from traystall.routes.models import Pool
 
-# What is known of a pool that is not declared.
+# Stands for a pool that the configuration does not declare.
 _NO_POOL = Pool("")
 
 
 class ColdTargets:
-    """Count what goes to targets of pools that declare what cold ones bear."""
+    """Limit the requests to cold targets in pools that declare a rate for them."""
 
     def __init__(self, context, rule: ColdRule):
         self._context = context
         self._rule = rule
-        self._book = ColdBook()
+        self._recent = ColdBook()
 
     def may_send(self, view: TargetView, *, for_all: bool = False) -> bool:
         """Return whether a target may get one more request now.
 
-        `for_all` says that this gateway sends what all others would.
+        `as_coordinator` tells that this gateway sends the requests of all gateways.
         """
         now = clock.monotonic()
         pool = self._pool(view.report.pool)
         if now >= view.cold_until or not pool.cold_per_second:
             return True
-        return self._book.count(view.identity, now) < self._allowance(view, pool, for_all)
+        return self._recent.count(view.identity, now) < self._allowance(view, pool, for_all)
 
     def note_sent(self, view: TargetView) -> None:
-        """Count a request for a target, should it be cold or become so."""
+        """Record a request to a target, which may be cold now or become cold within the window."""
         if self._pool(view.report.pool).cold_per_second:
-            self._book.note(view.identity, clock.monotonic())
+            self._recent.record(view.identity, clock.monotonic())
 
     def expect(self, data_centre: str) -> None:
-        """Take the targets of a restored data centre for cold until they tell otherwise."""
+        """Treat the targets of a restored data centre as cold until they report otherwise."""
         board = self._context.board
-        board.expect_cold(data_centre, self._cold_seconds, clock.monotonic())
+        board.mark_data_centre_cold(data_centre, self._cold_seconds, clock.monotonic())
 
     def retain(self) -> None:
-        """Forget what was sent to targets that are gone."""
-        self._book.retain(self._context.board.identities())
+        """Drop the counts of targets that no longer exist."""
+        self._recent.retain(self._context.board.identities())
 
     def _allowance(self, view, pool, for_all) -> int:
         if for_all:
             return coordinator_allowance(self._rule, pool.cold_per_second)
-        # One gateway places the prompts of engines and batches the pieces of stages for all.
-        is_dealt = pool.engine is None and pool.batches is None
-        return own_allowance(
+        # For pools of engines and of batching workers, one gateway acts for all others: it places
+        # the prompts, or it batches the pieces.
+        divides_all = pool.engine is None and pool.batches is None
+        return gateway_allowance(
             self._rule,
             pool.cold_per_second,
             view.identity,
             self._context.identity,
             [row.identity for row in self._context.follower.directory],
-            dealt=is_dealt,
+            divides_all=divides_all,
         )
 
     def _cold_seconds(self, name) -> float:
--- a/traystall/passthrough/health/pages.py
+++ b/traystall/passthrough/health/pages.py
@@ -1,4 +1,4 @@
-"""Pages on which operators see what targets have asked for, and lift a rest."""
+"""HTTP endpoints for operators: list backoff periods and rate limits, and end a backoff period."""
 
 import hmac
 
@@ -12,8 +12,8 @@
 from traystall.passthrough.health.board import TargetBoard
 from traystall.permits.permits import Permits
 
-RESTS = "/v1/rests"
-LIMITS = "/v1/limits"
+BACKOFFS_PATH = "/v1/rests"
+LIMITS_PATH = "/v1/limits"
 _SCHEME = "Bearer "
 _JSON = [(b"Content-Type", b"application/json")]
 
@@ -21,7 +21,9 @@
 class RestPages:
     """Serve GET /v1/rests and DELETE /v1/rests/TARGET.
 
-    Where the cluster has a secret, lifting wants it as `Authorization: Bearer SECRET`.
+    GET lists the targets in a backoff period and those that shut down; DELETE ends the backoff
+    period of a target. If the cluster has a secret, DELETE requires it as
+    `Authorization: Bearer SECRET`.
     """
 
     def __init__(self, board: TargetBoard, secret: str):
@@ -29,48 +31,57 @@
         self._secret = secret
 
     def add_to(self, router: Router) -> None:
-        """Add the pages to `router`."""
-        router.add("GET", RESTS, self._list)
-        router.add("DELETE", RESTS + "/{}", self._lift)
+        """Register the endpoints at `router`."""
+        router.add("GET", BACKOFFS_PATH, self._list)
+        router.add("DELETE", BACKOFFS_PATH + "/{}", self._lift)
 
     async def _list(self, request: Request, _: str) -> Response:
         now = clock.monotonic()
         asked = [view for view in self._board.views() if view.asked.rests(now) or view.asked.leaves]
-        return _answer(200, {"targets": [_document(view, now) for view in asked]})
+        return _json_response(200, {"targets": [_backoff_document(view, now) for view in asked]})
 
     async def _lift(self, request: Request, target: str) -> Response:
-        if not self._may_lift(request):
-            return _answer(403, {"code": "forbidden", "detail": "The cluster's secret is missing."})
+        if not self._is_authorized(request):
+            return _json_response(
+                403, {"code": "forbidden", "detail": "The cluster's secret is missing."}
+            )
         view = self._board.view(target)
         if view is None:
-            return _answer(404, {"code": "no-target", "detail": f"No target is named '{target}'."})
+            return _json_response(
+                404, {"code": "no-target", "detail": f"No target is named '{target}'."}
+            )
         lifted = view.asked.rests(clock.monotonic())
         view.asked.lift()
         decision("rest-lifted", target=view.report.life, lifted=lifted)
-        return _answer(200, {"lifted": lifted})
+        return _json_response(200, {"lifted": lifted})
 
-    def _may_lift(self, request):
+    def _is_authorized(self, request):
         shown = (request.get("Authorization") or "").encode()
         return not self._secret or hmac.compare_digest(shown, (_SCHEME + self._secret).encode())
 
 
 class LimitPages:
-    """Serve GET /v1/limits: what targets take from all gateways together, as known here."""
+    """Serve GET /v1/limits: the rate limits that targets name for all gateways together.
+
+    The page shows what is known at this gateway.
+    """
 
     def __init__(self, board: TargetBoard, permits: Permits):
         self._board = board
         self._permits = permits
 
     def add_to(self, router: Router) -> None:
-        """Add the page to `router`."""
-        router.add("GET", LIMITS, self._list)
+        """Register the endpoint at `router`."""
+        router.add("GET", LIMITS_PATH, self._list)
 
     async def _list(self, request: Request, _: str) -> Response:
         now = clock.monotonic()
         limited = [view for view in self._board.views() if view.limit.is_limited]
-        return _answer(200, {"targets": [self._document(view, now) for view in limited]})
+        return _json_response(
+            200, {"targets": [self._limit_document(view, now) for view in limited]}
+        )
 
-    def _document(self, view, now):
+    def _limit_document(self, view, now):
         report, limit = view.report, view.limit
         return {
             "target": view.identity,
@@ -86,7 +97,7 @@
         }
 
 
-def _document(view, now):
+def _backoff_document(view, now):
     return {
         "target": view.identity,
         "life": view.report.life,
@@ -98,5 +109,5 @@
     }
 
 
-def _answer(status, document):
+def _json_response(status, document):
     return Response(status, _JSON, msgspec.json.encode(document))
--- a/traystall/passthrough/health/places.py
+++ b/traystall/passthrough/health/places.py
@@ -1,67 +1,70 @@
-"""Notice that a whole data centre can't be reached, from a few peers there that can't.
+"""Detect that a data centre is unreachable when a few of its peers do not respond.
 
-Pure; times are monotonic seconds. Without this each of its targets and gateways
-would cost a time-out of its own.
+Without this detection, each target and gateway of the data centre would cost a separate timeout.
+Performs no I/O; times are monotonic seconds.
 """
 
-# So many different peers of a data centre that are silent within this time mean the data centre.
-_PEERS = 2
-_WITHIN_SECONDS = 2.0
-_FIRST_SECONDS = 1.0
-_MAX_SECONDS = 4.0
-# Background probes without an answer keep a data centre out for so long more, and for so long
-# in all: its gateways may be lost while its targets are there.
-_EXTEND_SECONDS = 1.2
+# A data centre is taken as unreachable if this many different peers there do not respond within
+# this time.
+_SILENT_PEERS = 2
+_SILENT_WITHIN_SECONDS = 2.0
+# Duration of the first outage; it doubles with each one that follows without a response, up to the
+# maximum.
+_FIRST_OUTAGE_SECONDS = 1.0
+_MAX_OUTAGE_SECONDS = 4.0
+# A failed background probe extends the outage by this time. Probes extend an outage no longer than
+# the maximum, because they reach only gateways: these may be lost while the targets still run.
+_EXTENSION_SECONDS = 1.2
 _MAX_EXTENDED_SECONDS = 12.0
 
 
 class DataCentreWatch:
-    """Collect silent peers by data centre; the own one is never taken for cut off."""
+    """Track unresponsive peers by data centre; the own one is never taken as unreachable."""
 
     def __init__(self, own: str):
         self._own = own
         self._silent: dict[str, dict[str, float]] = {}
-        self._out_until: dict[str, float] = {}
-        self._times_out: dict[str, int] = {}
-        self._out_since: dict[str, float] = {}
+        self._outage_until: dict[str, float] = {}
+        self._outage_counts: dict[str, int] = {}
+        self._outage_since: dict[str, float] = {}
 
     def suspected(self) -> list[str]:
-        """Return the data centres that have been out and were not heard of since."""
-        return list(self._times_out)
+        """Return the data centres with an outage that have not responded since it began."""
+        return list(self._outage_counts)
 
     def extend(self, data_centre: str, now: float) -> None:
-        """Keep a data centre out: nobody there has answered a probe."""
-        since = self._out_since.get(data_centre)
+        """Extend an outage after a probe that got no response."""
+        since = self._outage_since.get(data_centre)
         if since is None or now - since > _MAX_EXTENDED_SECONDS:
             return
-        until = self._out_until.get(data_centre, float("-inf"))
-        self._out_until[data_centre] = max(until, now + _EXTEND_SECONDS)
+        until = self._outage_until.get(data_centre, float("-inf"))
+        self._outage_until[data_centre] = max(until, now + _EXTENSION_SECONDS)
 
     def on_silent(self, data_centre: str, peer: str, now: float) -> None:
-        """Note that a peer did not answer at all."""
+        """Record that a peer did not respond at all."""
         if data_centre == self._own or self.is_out(data_centre, now):
             return
         peers = self._silent.setdefault(data_centre, {})
         peers[peer] = now
         for name, at in list(peers.items()):
-            if now - at > _WITHIN_SECONDS:
+            if now - at > _SILENT_WITHIN_SECONDS:
                 del peers[name]
-        again = self._times_out.get(data_centre, 0)
-        # One that was out a moment ago needs a single sign to be out again.
-        if len(peers) >= _PEERS or again:
-            seconds = min(_MAX_SECONDS, _FIRST_SECONDS * 2**again)
-            self._out_until[data_centre] = now + seconds
-            self._times_out[data_centre] = again + 1
-            self._out_since.setdefault(data_centre, now)
+        outages = self._outage_counts.get(data_centre, 0)
+        # After an earlier outage without a response since, a single silent peer is enough.
+        if len(peers) >= _SILENT_PEERS or outages:
+            seconds = min(_MAX_OUTAGE_SECONDS, _FIRST_OUTAGE_SECONDS * 2**outages)
+            self._outage_until[data_centre] = now + seconds
+            self._outage_counts[data_centre] = outages + 1
+            self._outage_since.setdefault(data_centre, now)
             peers.clear()
 
     def on_heard(self, data_centre: str) -> None:
-        """Note that a peer answered: its data centre is there."""
+        """Record that a peer responded, which ends the outage of its data centre."""
         self._silent.pop(data_centre, None)
-        self._out_until.pop(data_centre, None)
-        self._times_out.pop(data_centre, None)
-        self._out_since.pop(data_centre, None)
+        self._outage_until.pop(data_centre, None)
+        self._outage_counts.pop(data_centre, None)
+        self._outage_since.pop(data_centre, None)
 
     def is_out(self, data_centre: str, now: float) -> bool:
-        """Return whether a data centre is taken for cut off."""
-        return now < self._out_until.get(data_centre, float("-inf"))
+        """Return whether a data centre is taken as unreachable."""
+        return now < self._outage_until.get(data_centre, float("-inf"))
--- a/traystall/passthrough/health/probing.py
+++ b/traystall/passthrough/health/probing.py
@@ -1,6 +1,7 @@
-"""Find out whether a data centre that was taken for cut off can be reached again.
+"""Probe unreachable data centres in the background.
 
-Asked in the background, so that no request has to find out by waiting.
+The probes find out when a data centre is reachable again, so that no request has to wait for a
+timeout to do so.
 """
 
 import asyncio
@@ -12,34 +13,34 @@
 from traystall.rpc.client import LinkPool
 from traystall.rpc.gen.wire.ttypes import PingRequest
 
-_PROBE_SECONDS = 0.4
-_PROBE_TIMEOUT = 0.35
-# So many gateways of a data centre are asked at once.
-_PEERS = 2
+_PROBE_INTERVAL_SECONDS = 0.4
+_PROBE_TIMEOUT_SECONDS = 0.35
+# Number of gateways of a data centre that one probe contacts.
+_PROBED_GATEWAYS = 2
 
 
 class PlaceProber:
-    """Ask gateways of each data centre that is out whether they are there."""
+    """Ping gateways in each unreachable data centre."""
 
     def __init__(self, context: PassContext, links: LinkPool):
         self._context = context
         self._links = links
 
     async def probe_forever(self) -> None:
-        """Ask again and again."""
+        """Probe all unreachable data centres at a fixed interval."""
         while True:
-            await asyncio.sleep(_PROBE_SECONDS)
+            await asyncio.sleep(_PROBE_INTERVAL_SECONDS)
             for data_centre in self._context.places.suspected():
                 await self.probe(data_centre)
 
     async def probe(self, data_centre: str) -> None:
-        """Ask one data centre; it stays out as long as nobody there answers."""
+        """Ping gateways of a data centre; without a response its outage is extended."""
         rows = [
             row
             for row in self._context.follower.directory
             if row.data_centre == data_centre and row.state == "serving"
         ]
-        chosen = self._context.random.sample(rows, min(_PEERS, len(rows)))
+        chosen = self._context.random.sample(rows, min(_PROBED_GATEWAYS, len(rows)))
         heard = await asyncio.gather(*(self._ping(row.rpc_address) for row in chosen))
         if any(heard):
             self._context.places.on_heard(data_centre)
@@ -50,7 +51,7 @@
     async def _ping(self, address) -> bool:
         request = PingRequest(sender=self._context.identity)
         try:
-            await self._links.link(address).call(request, _PROBE_TIMEOUT)
+            await self._links.link(address).call(request, _PROBE_TIMEOUT_SECONDS)
         except RpcError:
             return False
         return True
