--- a/tests/passthrough/test_cold.py
+++ b/tests/passthrough/test_cold.py
@@ -1,4 +1,7 @@
-"""Cold targets get what they bear, summed over all gateways, whatever each of them knows."""
+"""The requests to a cold target stay within its limit, summed over all gateways.
+
+The gateways do not coordinate, and each of them may know different peers.
+"""
 
 import msgspec
 import pytest
@@ -28,7 +31,7 @@
 
 
 @given(RULES, st.floats(0.5, 200.0), st.integers(1, 120))
-def test_what_gateways_take_by_themselves_stays_within_the_bound(rule, per_second, count):
+def test_sum_of_gateway_allowances_stays_within_the_bound(rule, per_second, count):
     names = gateways(count)
     taken = [
         gateway_allowance(rule, per_second, "t", name, names, divides_all=True) for name in names
@@ -39,7 +42,7 @@
 
 @given(RULES, st.floats(3.0, 200.0), st.integers(1, 120))
 @example(ColdRule(), 199.99999999999997, 1)
-def test_two_coordinators_and_all_others_stay_within_the_bound(rule, per_second, count):
+def test_two_coordinators_and_all_gateways_stay_within_the_bound(rule, per_second, count):
     names = gateways(count)
     alone = sum(
         gateway_allowance(rule, per_second, "t", name, names, divides_all=False) for name in names
@@ -48,17 +51,17 @@
     assert acting + alone <= rule.bound(per_second)
 
 
-def test_coordinator_gives_a_cold_target_most_of_what_it_bears():
+def test_coordinator_allowance_is_most_of_the_rate_of_a_cold_target():
     assert coordinator_allowance(ColdRule(1.5, 5.0), 9.1) == 7
     assert coordinator_allowance(ColdRule(3.0, 5.0), 9.1) == 9
 
 
-def test_gateway_that_no_directory_lists_counts_itself():
+def test_gateway_missing_from_the_directory_counts_itself():
     assert gateway_allowance(ColdRule(), 10.0, "t", "new", [], divides_all=True) == 9
     assert gateway_allowance(ColdRule(), 10.0, "t", "new", gateways(8), divides_all=True) == 1
 
 
-def test_book_counts_a_window():
+def test_counter_covers_a_window():
     book = ColdBook()
     for at in (0.0, 0.5, 1.0):
         book.record("t", at)
@@ -73,7 +76,7 @@
     return TargetReport(identity, "engine", "1.2.3.4:5", "here", sequence=sequence, warming=warming)
 
 
-def test_target_that_goes_cold_again_is_news():
+def test_target_that_becomes_cold_again_changes_the_registry():
     registry = Registry()
     registry.merge(report(1, 3.0), 10.0)
     assert registry.get("t").cold_until == 13.0
@@ -85,14 +88,14 @@
     assert registry.get("t").cold_until == 23.0
 
 
-def test_late_report_says_nothing_of_cold():
+def test_outdated_report_does_not_mark_a_target_cold():
     registry = Registry()
     registry.merge(report(4, 0.0), 20.0)
     assert not registry.merge(report(2, 3.0), 21.0)
     assert registry.get("t").cold_until <= 20.0
 
 
-def test_cold_is_the_same_moment_at_whoever_hears_of_it_later():
+def test_end_of_a_cold_start_is_the_same_at_a_later_recipient():
     registry, other = Registry(), Registry()
     registry.merge(report(1, 3.0), 10.0)
     registry.saw("t", 11.5)
@@ -115,8 +118,8 @@
     return gateway.context.placing.place_here(request).identity
 
 
-def test_placer_gives_a_cold_engine_its_part_and_warm_ones_the_rest():
-    async def story():
+def test_placer_limits_a_cold_engine_and_uses_warm_ones_for_the_remainder():
+    async def scenario():
         engines = [await Runner(f"e-{n}", events=1).start() for n in range(2)]
         async with EmulatedGateway(cold_table(), [("engine", e) for e in engines]) as gateway:
             cold = TargetReport("e-0", "engine", engines[0].address, "here", sequence=2, warming=3)
@@ -126,11 +129,11 @@
             assert placed.count("e-0") <= allowed
             assert placed.count("e-1") == 30 - placed.count("e-0")
 
-    run(story())
+    run(scenario())
 
 
-def test_gateway_that_places_for_itself_spares_cold_engines():
-    async def story():
+def test_gateway_that_places_on_its_own_has_a_smaller_allowance():
+    async def scenario():
         engines = [await Runner(f"e-{n}", events=1).start() for n in range(2)]
         async with EmulatedGateway(cold_table(), [("engine", e) for e in engines]) as gateway:
             cold = TargetReport("e-0", "engine", engines[0].address, "here", sequence=2, warming=3)
@@ -139,11 +142,11 @@
             assert gateway.context.cold.may_send(view, for_all=True)
             assert not gateway.context.cold.may_send(view)
 
-    run(story())
+    run(scenario())
 
 
-def test_plain_targets_that_are_cold_get_this_gateways_part():
-    async def story():
+def test_cold_plain_targets_get_this_gateways_share():
+    async def scenario():
         targets = [await Runner(f"p-{n}").start() for n in range(2)]
         async with EmulatedGateway(cold_table(6.0), [("plain", t) for t in targets]) as gateway:
             cold = TargetReport(
@@ -155,4 +158,4 @@
             allowed = gateway_allowance(ColdRule(), 6.0, "p-0", "gateway-1", [], divides_all=True)
             assert 0 < len(targets[0].runs) <= allowed
 
-    run(story())
+    run(scenario())
--- a/tests/passthrough/test_customers_places.py
+++ b/tests/passthrough/test_customers_places.py
@@ -1,4 +1,4 @@
-"""A keyed customer's requests and results stay inside its data centres, under any doubt."""
+"""Requests and results of a keyed customer stay in its data centres, even if targets there fail."""
 
 import msgspec
 import pytest
@@ -12,31 +12,34 @@
 from traystall.routes.models import BatchProfile, KeyedCustomer, Route
 
 
-def confined(routing, *places):
+def restrict_customer(routing, *places):
     customers = (KeyedCustomer("ana", (KEY,), None, places),)
     return msgspec.structs.replace(routing, customers=customers)
 
 
-_DOUBT_SECONDS = 0.4
+_AVOID_SECONDS = 0.4
 STAGED = {"Traystall-Pieces": "2,1", "Traystall-Piece-Key": "pk"}
 
 
-async def _play(path, places, **headers):
-    """Play one request over runners of each pool here and elsewhere; those here are in doubt."""
+async def _send_request(path, places, **headers):
+    """Send a request to a gateway "here" with targets of each pool here and elsewhere.
+
+    The targets here are avoided after failures, so that those elsewhere would be preferred.
+    """
     runners = {}
     for pool in ("plain", "engine", "batches"):
         for where in ("here", "elsewhere"):
             events = 3 if pool == "engine" else 0
             runners[pool, where] = await Runner(f"{pool}-{where}", events=events).start()
     try:
-        routing = confined(table(stages=STAGES), *places)
+        routing = restrict_customer(table(stages=STAGES), *places)
         async with EmulatedGateway(routing, []) as gateway:
             for (pool, where), runner in runners.items():
                 report = TargetReport(runner.identity, pool, runner.address, where, slots=4)
                 gateway.context.board.merge(report, clock.monotonic())
                 if where == "here":
                     view = gateway.context.board.view(runner.identity)
-                    view.avoid_until = clock.monotonic() + _DOUBT_SECONDS
+                    view.avoid_until = clock.monotonic() + _AVOID_SECONDS
             answer = await gateway.call(path, **headers)
         seen = {
             where: sum(len(r.runs) + len(r.calls) for (_, w), r in runners.items() if w == where)
@@ -52,32 +55,32 @@
     ("path", "headers"),
     [("/once/x", {}), ("/again/x", {}), ("/events/x", {}), ("/staged/x", STAGED)],
 )
-def test_nothing_leaves_the_customers_places(path, headers):
-    (status, _, _), seen = run(_play(path, ["here"], **headers))
+def test_requests_stay_in_the_customers_data_centres(path, headers):
+    (status, _, _), seen = run(_send_request(path, ["here"], **headers))
     assert status == 200
     assert seen["elsewhere"] == 0 and seen["here"] > 0
 
 
 def test_gateway_outside_refuses_before_it_reads_the_body():
-    (status, _, _), seen = run(_play("/once/x", ["elsewhere"]))
+    (status, _, _), seen = run(_send_request("/once/x", ["elsewhere"]))
     assert status == 421
     assert seen == {"here": 0, "elsewhere": 0}
 
 
-def test_customer_without_places_is_served_anywhere():
-    (status, _, _), seen = run(_play("/once/x", []))
+def test_customer_without_data_centres_is_served_anywhere():
+    (status, _, _), seen = run(_send_request("/once/x", []))
     assert status == 200
-    assert seen["elsewhere"] == 1, "the target here is in doubt"
+    assert seen["elsewhere"] == 1, "the target here is avoided"
 
 
-def test_pieces_stay_inside_however_pressing_they_are():
+def test_overdue_pieces_stay_in_the_customers_data_centres():
     job = PieceJob("a", "a", 0, 0, "k", (), 0, -9.0, 9.0, 0, "here", 0, ("here",))
     profile = BatchProfile(batch=1, room_bytes=10)
     assert take_batch([job, job, job], profile, 10, 0.0, FreeTarget("elsewhere")) == []
     assert take_batch([job], profile, 10, 0.0, FreeTarget("here")) == [job]
 
 
-def test_route_and_customer_bind_both():
+def test_data_centres_of_route_and_customer_both_apply():
     def route(*places):
         return Route("r", "h", "/", (), data_centres=places)
 
@@ -93,9 +96,12 @@
     assert places_of(route("a"), customer("c")) is None
 
 
-async def _play_two_regions(route_places, customer_places):
-    """Play a staged request at a gateway here, with runners of each pool here and elsewhere."""
-    routing = confined(table(stages=STAGES), *customer_places)
+async def _send_to_two_data_centres(route_places, customer_places):
+    """Send a plain and a staged request to a gateway "here" that the customer may enter anywhere.
+
+    Targets of each pool run here and elsewhere.
+    """
+    routing = restrict_customer(table(stages=STAGES), *customer_places)
     customers = (msgspec.structs.replace(routing.customers[0], enters_anywhere=True),)
     routes = tuple(msgspec.structs.replace(r, data_centres=route_places) for r in routing.routes)
     routing = msgspec.structs.replace(routing, routes=routes, customers=customers)
@@ -124,7 +130,7 @@
         (("nowhere",), (), [503, 503], set()),
     ],
 )
-def test_gateway_that_the_caller_reached_sends_only_to_the_homes(
+def test_gateway_outside_sends_only_to_permitted_data_centres(
     route_places, customer_places, statuses, used
 ):
-    assert run(_play_two_regions(route_places, customer_places)) == (statuses, used)
+    assert run(_send_to_two_data_centres(route_places, customer_places)) == (statuses, used)
--- a/tests/passthrough/test_drain.py
+++ b/tests/passthrough/test_drain.py
@@ -1,4 +1,8 @@
-"""A planned stop cuts nothing: what arrives late is refused, what has no answer gets one."""
+"""A planned shutdown breaks no request.
+
+Requests that arrive late are refused as not run, and those without a response at the drain limit
+get one.
+"""
 
 import asyncio
 
@@ -9,13 +13,13 @@
 from tests.support.emulator.runner import Runner
 from traystall.passthrough.entry.drain import Drain, Phase
 
-# Requests arrive in each tenth of a stop, the notice being the first four of them.
+# Requests arrive in each tenth of a shutdown; the first four tenths are the notice period.
 TENTHS = range(10)
 NOTICE_TENTHS = 4
 
 
-class _Stop:
-    """Stop an emulated gateway; its time goes on only as the test says."""
+class _DrainControl:
+    """Drain an emulated gateway; the test decides when the notice period ends."""
 
     def __init__(self, gateway):
         self.gateway = gateway
@@ -31,34 +35,34 @@
         self._go_on.set()
 
 
-async def _arrive_late(path, tenth, **options):
-    """Return what became of a request sent in one tenth of a stop, and whether it ran."""
+async def _call_during_drain(path, tenth, **options):
+    """Return status and headers of a request sent in one tenth of a drain, and how often it ran."""
     target = await Runner("t-1", **options).start()
     pool = "engine" if path.startswith("/events") else "plain"
     async with EmulatedGateway(table(timeout=10.0), [(pool, target)]) as gateway:
-        await gateway.call(path)  # From now on its connection is open.
-        stop = _Stop(gateway)
-        stopping = asyncio.create_task(stop.drain.run(1.0, 5.0))
-        await stop.slept.wait()
+        await gateway.call(path)  # Opens a keep-alive connection.
+        control = _DrainControl(gateway)
+        draining = asyncio.create_task(control.drain.run(1.0, 5.0))
+        await control.slept.wait()
         if tenth >= NOTICE_TENTHS:
-            stop.end_notice()
-            await stopping
+            control.end_notice()
+            await draining
         runs = len(target.runs)
         try:
             status, headers, _ = await gateway.call(path)
         except aiohttp.ClientError:
             status, headers = 0, {}
         ran = len(target.runs) - runs
-        stop.end_notice()
-        await stopping
+        control.end_notice()
+        await draining
     await target.stop()
     return status, headers, ran
 
 
 @pytest.mark.parametrize("tenth", TENTHS)
 @pytest.mark.parametrize(("path", "events"), [("/once/x", 0), ("/again/x", 0), ("/events/x", 4)])
-def test_what_arrives_during_a_stop_is_whole_or_was_not_run(path, events, tenth):
-    status, headers, ran = run(_arrive_late(path, tenth, events=events))
+def test_request_during_a_drain_is_complete_or_not_run(path, events, tenth):
+    status, headers, ran = run(_call_during_drain(path, tenth, events=events))
     if tenth < NOTICE_TENTHS:
         assert (status, ran) == (200, 1)
     else:
@@ -66,8 +70,8 @@
         assert status == 0 or headers["Connection"] == "close"
 
 
-def test_a_request_that_crosses_the_close_is_refused_as_not_run():
-    async def play():
+def test_request_after_the_close_is_refused_as_not_run():
+    async def scenario():
         target = await Runner("t-1").start()
         async with EmulatedGateway(table(), [("plain", target)]) as gateway:
             gateway.front.phase = Phase.CLOSED
@@ -75,20 +79,20 @@
         await target.stop()
         return status, headers, target.runs
 
-    status, headers, runs = run(play())
+    status, headers, runs = run(scenario())
     assert (status, runs) == (503, [])
     assert float(headers["Retry-After"]) > 0
     assert headers["Connection"] == "close"
 
 
-def test_answers_during_the_notice_ask_callers_to_leave():
-    status, headers, _ = run(_arrive_late("/once/x", 0))
+def test_responses_during_the_notice_close_the_connection():
+    status, headers, _ = run(_call_during_drain("/once/x", 0))
     assert status == 200
     assert headers["Connection"] == "close"
 
 
-async def _end_of_a_stop(path, pools, **options):
-    """Return the answer to a request whose target is silent until the end of a stop."""
+async def _call_until_drain_limit(path, pools, **options):
+    """Return the response to a request whose target does not respond before the drain limit."""
     runners = [(pool, await runner.start()) for pool, runner in pools]
     async with EmulatedGateway(table(timeout=15.0, **options), runners) as gateway:
         call = asyncio.create_task(gateway.call(path, **{"Traystall-Pieces": "1,1"}))
@@ -102,20 +106,20 @@
     return answer
 
 
-def test_a_request_that_a_target_still_runs_gets_an_answer_that_promises_nothing():
-    status, _, _ = run(_end_of_a_stop("/once/x", [("plain", Runner(faults=["silent"]))]))
+def test_request_still_running_at_the_drain_limit_gets_504():
+    status, _, _ = run(_call_until_drain_limit("/once/x", [("plain", Runner(faults=["silent"]))]))
     assert status == 504
 
 
-def test_a_request_still_in_its_stages_is_told_that_it_has_not_run():
+def test_request_still_in_its_stages_at_the_drain_limit_gets_503():
     pools = [("batches", Runner("b-1", faults=["silent"])), ("engine", Runner("e-1", events=3))]
-    status, headers, _ = run(_end_of_a_stop("/staged/x", pools, stages=STAGES))
+    status, headers, _ = run(_call_until_drain_limit("/staged/x", pools, stages=STAGES))
     assert status == 503
     assert "Retry-After" in headers
 
 
-def test_a_stream_that_has_begun_is_left_to_go_on():
-    async def play():
+def test_started_stream_is_not_ended_by_the_drain():
+    async def scenario():
         engine = Runner("e-1", events=30)
         engine.event_seconds = 0.02
         await engine.start()
@@ -129,4 +133,4 @@
         await engine.stop()
         return status, body.count(b"id:")
 
-    assert run(play()) == (200, 30)
+    assert run(scenario()) == (200, 30)
