--- a/tests/passthrough/test_evacuation.py
+++ b/tests/passthrough/test_evacuation.py
@@ -1,4 +1,4 @@
-"""Nothing more is sent to an evacuated data centre; what runs there ends."""
+"""An evacuated data centre gets no new requests; requests that run there complete."""
 
 import asyncio
 import contextlib
@@ -12,12 +12,12 @@
 from traystall.rpc.gen.wire.ttypes import PlaceReply
 
 STAGED = {"Traystall-Pieces": "3,2", "Traystall-Piece-Key": "pk"}
-# Every answer of these tests' gateway comes far sooner: chosen.
-AT_ONCE_SECONDS = 0.3
+# Upper bound for an immediate refusal, which normally takes far less.
+IMMEDIATE_SECONDS = 0.3
 
 
 @contextlib.asynccontextmanager
-async def site(pools=("plain",), routes=None, event_seconds=0.0, **options):
+async def two_data_centres(pools=("plain",), routes=None, event_seconds=0.0, **options):
     """Run one gateway "here" with one target of each pool here and one "there"."""
     runners = {}
     for pool in pools:
@@ -34,9 +34,9 @@
             await runner.stop()
 
 
-def test_requests_go_elsewhere_and_come_back():
-    async def story():
-        async with site() as (gateway, runners):
+def test_requests_avoid_an_evacuated_data_centre_until_it_is_restored():
+    async def scenario():
+        async with two_data_centres() as (gateway, runners):
             here, there = runners["plain", "here"], runners["plain", "there"]
             gateway.evacuate("here")
             for _ in range(10):
@@ -51,12 +51,12 @@
                 assert (await gateway.call())[0] == 200
             assert len(here.runs) > 10
 
-    run(story())
+    run(scenario())
 
 
-def test_no_doubt_about_the_others_brings_an_evacuated_target_back():
-    async def story():
-        async with site() as (gateway, runners):
+def test_failures_of_other_targets_do_not_bring_an_evacuated_target_back():
+    async def scenario():
+        async with two_data_centres() as (gateway, runners):
             board = gateway.context.board
             gateway.evacuate("here")
             other = board.view("plain-there")
@@ -68,40 +68,43 @@
             assert (await gateway.call())[0] == 503
             assert runners["plain", "here"].runs == []
 
-    run(story())
+    run(scenario())
 
 
-def test_everything_evacuated_is_refused_at_once_and_truthfully():
-    async def story():
+def test_request_is_refused_immediately_if_all_data_centres_are_evacuated():
+    async def scenario():
         pools = ("plain", "engine", "batches")
         routes = table(stages=STAGES)
-        async with site(pools, routes, events=3, batch=4) as (gateway, runners):
+        async with two_data_centres(pools, routes, events=3, batch=4) as (gateway, runners):
             gateway.evacuate("here", "there")
             for path, extra in (("/once/x", {}), ("/events/x", {}), ("/staged/x", STAGED)):
                 began = clock.monotonic()
                 status, headers, body = await gateway.call(path, **extra)
                 assert (status, body) == (503, b"evacuated\n")
                 assert float(headers["Retry-After"]) > 0
-                assert clock.monotonic() - began < AT_ONCE_SECONDS
+                assert clock.monotonic() - began < IMMEDIATE_SECONDS
             assert all(not runner.runs and not runner.calls for runner in runners.values())
 
-    run(story())
+    run(scenario())
 
 
-def test_customer_whose_data_centres_are_all_evacuated_is_refused_at_once():
-    async def story():
-        async with site() as (gateway, _):
+def test_customer_lacks_targets_if_its_data_centres_are_evacuated():
+    async def scenario():
+        async with two_data_centres() as (gateway, _):
             gateway.evacuate("here")
             assert gateway.context.lacks_place("plain", ("here",))
             assert not gateway.context.lacks_place("plain", ("here", "there"))
             assert not gateway.context.lacks_place("unknown", ())
 
-    run(story())
+    run(scenario())
 
 
-def test_stream_that_runs_there_ends_whole():
-    async def story():
-        async with site(("engine",), events=8, event_seconds=0.05) as (gateway, runners):
+def test_stream_in_an_evacuated_data_centre_completes():
+    async def scenario():
+        async with two_data_centres(("engine",), events=8, event_seconds=0.05) as (
+            gateway,
+            runners,
+        ):
             call = asyncio.create_task(gateway.call("/events/x"))
             engines = runners.values()
             while not any(engine.runs for engine in engines):
@@ -112,13 +115,16 @@
             assert (status, body.count(b"id: ")) == (200, 8)
             assert sum(len(engine.runs) for engine in engines) == 1
 
-    run(story())
+    run(scenario())
 
 
-def test_stream_that_breaks_there_goes_on_elsewhere():
-    async def story():
+def test_stream_that_breaks_in_an_evacuated_data_centre_continues_elsewhere():
+    async def scenario():
         routes = table(resumable=True, max_attempts=4)
-        async with site(("engine",), routes, events=8, event_seconds=0.05) as (gateway, runners):
+        async with two_data_centres(("engine",), routes, events=8, event_seconds=0.05) as (
+            gateway,
+            runners,
+        ):
             for runner in runners.values():
                 runner.faults.append("reset in the body")
             call = asyncio.create_task(gateway.call("/events/x"))
@@ -132,14 +138,14 @@
             assert (status, body.count(b"id: ")) == (200, 8)
             assert len(runners["engine", used].runs) == 1
 
-    run(story())
+    run(scenario())
 
 
-def test_chain_that_is_half_way_goes_on_elsewhere():
-    async def story():
+def test_half_finished_stages_continue_elsewhere():
+    async def scenario():
         pools = ("engine", "batches")
         routes = table(stages=STAGES, timeout=5.0, aim=3.0)
-        async with site(pools, routes, events=2, batch=4) as (gateway, runners):
+        async with two_data_centres(pools, routes, events=2, batch=4) as (gateway, runners):
             workers = {place: runners["batches", place] for place in ("here", "there")}
             for worker in workers.values():
                 worker.call_seconds = 0.2
@@ -154,26 +160,26 @@
             assert len(workers[used].calls) == made
             assert not runners["engine", used].runs
 
-    run(story())
+    run(scenario())
 
 
 def test_overdue_call_is_not_copied_to_an_evacuated_worker():
-    async def story():
+    async def scenario():
         pools = ("engine", "batches")
         routes = table(stages=STAGES, timeout=3.0, aim=2.0)
-        async with site(pools, routes, events=2, batch=4) as (gateway, runners):
+        async with two_data_centres(pools, routes, events=2, batch=4) as (gateway, runners):
             gateway.evacuate("here")
             runners["batches", "there"].call_seconds = 0.4
             status, _, _ = await gateway.call("/staged/x", **STAGED)
             assert status == 200
             assert not runners["batches", "here"].calls
 
-    run(story())
+    run(scenario())
 
 
-def test_evacuated_targets_count_for_no_cell():
-    async def story():
-        async with site(("batches",)) as (gateway, _):
+def test_evacuated_targets_belong_to_no_cell():
+    async def scenario():
+        async with two_data_centres(("batches",)) as (gateway, _):
             board = gateway.context.board
             assert set(board.data_centres("batches")) == {"here", "there"}
             generation = board.generation
@@ -181,14 +187,14 @@
             assert set(board.data_centres("batches")) == {"there"}
             assert board.generation > generation
 
-    run(story())
+    run(scenario())
 
 
-def test_targets_that_come_back_or_start_during_an_evacuation_get_nothing():
-    """Replacements, targets back from a loss of their data centre and new ones are no exception."""
+def test_targets_that_start_during_an_evacuation_get_no_requests():
+    """This covers new targets and replacements of targets that were gone."""
 
-    async def story():
-        async with site() as (gateway, runners):
+    async def scenario():
+        async with two_data_centres() as (gateway, runners):
             gateway.evacuate("here")
             newcomer = await Runner("plain-new").start()
             gateway.add("plain", newcomer, "here")
@@ -209,17 +215,20 @@
             await newcomer.stop()
             await again.stop()
 
-    run(story())
+    run(scenario())
 
 
-def test_restored_data_centre_counts_as_cold_until_its_targets_tell():
-    async def story():
+def test_targets_of_a_restored_data_centre_count_as_cold():
+    async def scenario():
         routes = table()
         pools = tuple(
             msgspec.structs.replace(pool, cold_seconds=3.0, cold_per_second=4.0)
             for pool in routes.pools
         )
-        async with site(routes=msgspec.structs.replace(routes, pools=pools)) as (gateway, runners):
+        async with two_data_centres(routes=msgspec.structs.replace(routes, pools=pools)) as (
+            gateway,
+            runners,
+        ):
             gateway.evacuate("here")
             gateway.evacuate()
             view = gateway.context.board.view("plain-here")
@@ -229,21 +238,21 @@
                 assert (await gateway.call())[0] == 200
             assert 0 < len(runners["plain", "here"].runs) <= 4
 
-    run(story())
+    run(scenario())
 
 
-def test_answer_of_a_placer_that_does_not_know_yet_is_not_taken():
-    async def story():
-        async with site(("engine",), events=2) as (gateway, runners):
+def test_stale_placement_in_an_evacuated_data_centre_is_rejected():
+    async def scenario():
+        async with two_data_centres(("engine",), events=2) as (gateway, runners):
             gateway.evacuate("here")
             placing = gateway.context.placing
 
-            class Late:
+            class StaleLink:
                 async def call(self, request, timeout):
                     return PlaceReply(identity="engine-here")
 
-            placing._links.link = lambda address: Late()
+            placing._links.link = lambda address: StaleLink()
             owner = type("Row", (), {"identity": "g", "rpc_address": "a"})()
             assert await placing._ask(owner, type("R", (), {"request_id": "r"})()) is None
 
-    run(story())
+    run(scenario())
--- a/tests/passthrough/test_exchange_faults.py
+++ b/tests/passthrough/test_exchange_faults.py
@@ -1,4 +1,4 @@
-"""Each fault of a target, on each kind of route: what is told is true, and nothing runs twice."""
+"""Faults of targets on each route: responses to callers are true, and no request runs twice."""
 
 import asyncio
 
@@ -9,14 +9,14 @@
 from tests.support.emulator.runner import FAULTS, Runner
 
 NOT_RUN_STATUSES = (408, 421, 429, 503)
-# What a fault leaves behind: whether the request has run or may have run at its target.
+# Faults after which the request has certainly not run.
 NOT_RUN = ("not run", "misdirected")
-# The gateway can't tell these from a request that was read.
-DOUBTFUL = ("closed unread", "reset after reading")
+# Faults after which the gateway can't know whether the request has run.
+IN_DOUBT = ("closed unread", "reset after reading")
 GOOD = ("none", "answered twice", "unframed")
 
 
-async def _play(path, faults, timeout=2.0, **options):
+async def _send_request(path, faults, timeout=2.0, **options):
     first = await Runner("r-1", faults=faults).start()
     second = await Runner("r-2", faults=faults).start()
     try:
@@ -30,10 +30,10 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_at_most_once(fault):
+def test_request_runs_at_most_once(fault):
     timeout = 0.4 if fault == "silent" else 2.0
-    (status, _, body), runs, _ = run(_play("/once/x", [fault], timeout))
-    # The second target has the same fault: a request that may run again elsewhere is seen there.
+    (status, _, body), runs, _ = run(_send_request("/once/x", [fault], timeout))
+    # The second target has the same fault, so a retry there would show in its runs.
     assert len(runs) <= 1
     if runs:
         assert status not in NOT_RUN_STATUSES
@@ -44,14 +44,14 @@
         assert status == 200
     if fault in NOT_RUN:
         assert status == 503
-    if fault in DOUBTFUL:
+    if fault in IN_DOUBT:
         assert status == 502
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_repeatable_within_its_attempts(fault):
+def test_repeatable_request_stays_within_its_attempts(fault):
     timeout = 0.4 if fault == "silent" else 2.0
-    (status, headers, body), runs, rejected = run(_play("/again/x", [fault], timeout))
+    (status, headers, body), runs, rejected = run(_send_request("/again/x", [fault], timeout))
     assert len(runs) + len(rejected) <= 2
     if status == 200:
         assert body == b"answer to hello"
@@ -61,8 +61,8 @@
 
 
 @pytest.mark.parametrize("fault", [f for f in FAULTS if f not in ("none", "silent", *GOOD)])
-def test_repeatable_is_served_by_the_other_target(fault):
-    async def play():
+def test_repeatable_request_is_served_by_the_other_target(fault):
+    async def scenario():
         bad = await Runner("r-1", faults=[fault] * 50).start()
         good = await Runner("r-2").start()
         try:
@@ -72,22 +72,22 @@
             await bad.stop()
             await good.stop()
 
-    answers, bad, good = run(play())
+    answers, bad, good = run(scenario())
     assert [status for status, _, _ in answers] == [200] * 6
     assert all(body == b"answer to hello" for _, _, body in answers)
     assert len(good.runs) == 6
 
 
-def test_targets_own_failure_comes_back_unchanged():
-    (status, headers, body), runs, _ = run(_play("/once/x", ["failed"]))
+def test_error_response_of_a_target_is_passed_on_unchanged():
+    (status, headers, body), runs, _ = run(_send_request("/once/x", ["failed"]))
     assert (status, body, len(runs)) == (500, b"it failed", 1)
     assert headers["Traystall-Signature"] == f"signed by {'r-1' if runs else ''}" or headers[
         "Traystall-Signature"
     ].startswith("signed by r-")
 
 
-def test_surplus_answer_is_never_taken_for_the_next():
-    async def play():
+def test_surplus_response_is_not_taken_for_the_next_one():
+    async def scenario():
         runner = await Runner(faults=["answered twice"] * 3).start()
         try:
             async with EmulatedGateway(table(), [("plain", runner)]) as gateway:
@@ -95,12 +95,12 @@
         finally:
             await runner.stop()
 
-    answers = run(play())
+    answers = run(scenario())
     assert [body for _, _, body in answers] == [b"answer to %d" % i for i in range(5)]
 
 
-def test_request_is_untouched_but_for_what_a_gateway_sets():
-    async def play():
+def test_request_is_forwarded_unchanged_except_for_gateway_headers():
+    async def scenario():
         runner = await Runner().start()
         try:
             async with EmulatedGateway(table(), [("plain", runner)]) as gateway:
@@ -118,7 +118,7 @@
         finally:
             await runner.stop()
 
-    (seen,) = run(play())
+    (seen,) = run(scenario())
     assert seen["method"] == "POST"
     assert seen["body"] == b"\x00\xff"
     assert seen["headers"]["x-own"] == "value"
@@ -130,7 +130,7 @@
 
 
 def test_raw_path_and_query_are_kept():
-    async def play():
+    async def scenario():
         runner = await Runner().start()
         try:
             async with EmulatedGateway(table(), [("plain", runner)]) as gateway:
@@ -145,7 +145,7 @@
         finally:
             await runner.stop()
 
-    head, (seen,) = run(play())
+    head, (seen,) = run(scenario())
     assert head.startswith(b"HTTP/1.1 200")
     assert seen["path"] == "/once/a%2Fb//c%7e?x=%7e&y='1'"
     assert "content-length" not in seen["headers"]
@@ -162,7 +162,7 @@
     ],
 )
 def test_routes_and_keys(path, key, status):
-    async def play():
+    async def scenario():
         runner = await Runner().start()
         try:
             async with EmulatedGateway(table(), [("plain", runner)]) as gateway:
@@ -170,25 +170,25 @@
         finally:
             await runner.stop()
 
-    (found, _, _), runs = run(play())
+    (found, _, _), runs = run(scenario())
     assert found == status
     assert len(runs) == (1 if status == 200 else 0)
 
 
-def test_no_configuration_is_not_run_and_says_when_to_come_back():
-    async def play():
+def test_request_without_configuration_is_refused_with_retry_after():
+    async def scenario():
         async with EmulatedGateway(table(number=0), []) as gateway:
             return await gateway.call()
 
-    status, headers, _ = run(play())
+    status, headers, _ = run(scenario())
     assert status == 503
     assert float(headers["Retry-After"]) > 0
 
 
-def test_budget_bounds_what_is_sent_again():
+def test_retry_budget_bounds_the_retries():
     from traystall.passthrough.admission.budget import BudgetRule
 
-    async def play():
+    async def scenario():
         runners = [await Runner(f"r-{i}", faults=["failed"] * 100).start() for i in range(2)]
         rule = BudgetRule(ratio=0.2, slack=0)
         try:
@@ -201,11 +201,11 @@
             for runner in runners:
                 await runner.stop()
 
-    assert run(play()) <= 20 * 1.2
+    assert run(scenario()) <= 20 * 1.2
 
 
-def test_caller_that_leaves_ends_the_work():
-    async def play():
+def test_disconnect_of_the_caller_cancels_the_work():
+    async def scenario():
         runner = await Runner(events=500).start()
         runner.event_seconds = 0.01
         try:
@@ -221,4 +221,4 @@
         finally:
             await runner.stop()
 
-    assert run(play()) == 1
+    assert run(scenario()) == 1
--- a/tests/passthrough/test_requests_that_end_targets.py
+++ b/tests/passthrough/test_requests_that_end_targets.py
@@ -1,15 +1,12 @@
-"""A request that ends every target that runs it is soon sent to none.
-
-Eight engines ended one after the other, each 0.03 to 0.2 s after one certain request had begun to
-run there: `attempt-failed ... The connection ended: closed.` at its gateway, `cannot be reached` at
-the others. Each time the caller got 502 after one attempt (`attempts: 1`, all that the route
-allowed) and sent the request again: path, customer and body the same, a new id, another gateway.
-After the third end it reached four more targets, in another day five: nine ended in all.
-
-Every arrival kept to its route's attempts and met a live target, so neither the attempts nor late
-news of dead targets were the cause. Nothing remembered that the request had ended targets: not
-between the attempts of one arrival (three ends in a row where the route allows three), not between
-two arrivals at one gateway, and not between gateways.
+"""A request that terminates every target that runs it is quarantined.
+
+The failure: one request terminated up to nine engines, each 0.03 to 0.2 s after it had begun to
+run there. The caller got 502 after the one attempt that its route allowed, and retried with the
+same path, customer and body, but with a new id and at another gateway.
+
+Each arrival respected the route's maximum number of attempts and reached a live target. The cause
+was that nothing recorded that the request had terminated targets: not between the attempts of one
+arrival, not between arrivals at one gateway, and not between gateways.
 """
 
 import asyncio
@@ -23,16 +20,17 @@
 from traystall.rpc.gen.wire.ttypes import LiftRequest, StatusRequest
 
 TARGETS = 8
-ENDS = b"this ends whoever runs it"
-# After the third end a request may be tried so often before it is sent to nobody.
-MOST_ENDS = 3 + 3
-# A target is back so long after its end, in seconds, and a caller returns after so many.
-BACK_SECONDS = 0.3
-RETURN_SECONDS = 0.25
+FATAL_BODY = b"this ends whoever runs it"
+# The quarantine begins after three terminated targets. Three more may be lost until all gateways
+# know of it.
+MAX_ENDS = 3 + 3
+# Delays until a terminated target starts again, and until the caller retries.
+RESTART_SECONDS = 0.3
+RETRY_SECONDS = 0.25
 
 
 def configuration():
-    """Return routes to two pools: repeatable with three attempts, not repeatable, and streamed."""
+    """Return repeatable, non-repeatable, streamed and resumable routes, over two pools."""
     plain = {"host": HOST, "splits": (Split("plain"),), "timeout": 5.0, "aim": 1.0}
     events = plain | {"splits": (Split("engine"),), "streamed": True}
     rows = {
@@ -55,18 +53,18 @@
     await site.group.apply_entities("a", 1, configuration())
     for _ in range(TARGETS):
         runner = await site.add(pool, **options)
-        runner.ends_on = ENDS
+        runner.ends_on = FATAL_BODY
     path = "/events/x" if pool == "engine" else "/again/x"
     await site.until_all(path, 200)
 
 
-async def keep_alive(site, pool):
-    """Start every target that has ended again after a while, under a new name."""
+async def restart_ended_targets(site, pool):
+    """Restart every terminated target after a delay, under a new identity."""
     lives = 0
     while True:
         await asyncio.sleep(0.02)
         for runner in [runner for runner in site.runners if not runner.is_up]:
-            await asyncio.sleep(BACK_SECONDS)
+            await asyncio.sleep(RESTART_SECONDS)
             lives += 1
             await runner.start_again(f"{runner.identity.partition('+')[0]}+{lives}")
             await site.report(runner, pool)
@@ -91,38 +89,38 @@
         ("/resumed/x", "engine", {"events": 3}),
     ],
 )
-def test_request_that_ends_its_targets_is_soon_sent_to_none(tmp_path, path, pool, options):
-    async def story(site):
+def test_request_that_ends_its_targets_is_quarantined(tmp_path, path, pool, options):
+    async def scenario(site):
         await start(site, pool, **options)
-        keeper = asyncio.create_task(keep_alive(site, pool))
+        restarter = asyncio.create_task(restart_ended_targets(site, pool))
         answers = []
         for turn in range(10):
             number = turn % len(site.gateways)
-            answers.append(await site.call(number, path, ENDS))
+            answers.append(await site.call(number, path, FATAL_BODY))
             await until_others_are_served(site, number, path)
-            await asyncio.sleep(RETURN_SECONDS)
-        keeper.cancel()
-        assert 3 <= ends(site) <= MOST_ENDS
+            await asyncio.sleep(RETRY_SECONDS)
+        restarter.cancel()
+        assert 3 <= ends(site) <= MAX_ENDS
         assert answers[-3:] == [(503, b"quarantined\n")] * 3
 
-    play(tmp_path, story, gateways=3)
+    play(tmp_path, scenario, gateways=3)
 
 
 async def until_refused_everywhere(site, path="/once/x"):
-    """Send it until it is refused at every gateway."""
+    """Send the fatal request until every gateway refuses it as quarantined."""
     async with asyncio.timeout(20):
         for number in range(len(site.gateways)):
-            while (await site.call(number, path, ENDS)) != (503, b"quarantined\n"):
-                await asyncio.sleep(RETURN_SECONDS)
+            while (await site.call(number, path, FATAL_BODY)) != (503, b"quarantined\n"):
+                await asyncio.sleep(RETRY_SECONDS)
 
 
 @contextlib.asynccontextmanager
-async def kept_alive(site, pool="plain"):
-    keeper = asyncio.create_task(keep_alive(site, pool))
+async def targets_restarted(site, pool="plain"):
+    restarter = asyncio.create_task(restart_ended_targets(site, pool))
     try:
         yield
     finally:
-        keeper.cancel()
+        restarter.cancel()
 
 
 async def restart_gateways_in_turn(site):
@@ -153,10 +151,10 @@
 
 
 @pytest.mark.parametrize("event", [restart_gateways_in_turn, lose_the_leader, lose_all_power])
-def test_it_stays_refused_through(tmp_path, event):
-    async def story(site):
+def test_quarantine_survives(tmp_path, event):
+    async def scenario(site):
         await start(site, "plain")
-        async with kept_alive(site):
+        async with targets_restarted(site):
             await until_refused_everywhere(site)
             before = ends(site)
             await event(site)
@@ -166,35 +164,37 @@
             await site.until_all("/again/x", 200)
             for turn in range(6):
                 number = turn % len(site.gateways)
-                assert (await site.call(number, "/once/x", ENDS))[1] == b"quarantined\n"
+                assert (await site.call(number, "/once/x", FATAL_BODY))[1] == b"quarantined\n"
             assert ends(site) == before
 
-    play(tmp_path, story)
+    play(tmp_path, scenario)
 
 
-def test_copies_at_all_gateways_at_once_soon_reach_no_target(tmp_path):
-    async def story(site):
+def test_concurrent_copies_at_all_gateways_are_quarantined(tmp_path):
+    async def scenario(site):
         await start(site, "plain")
-        async with kept_alive(site):
+        async with targets_restarted(site):
             for _ in range(3):
-                await asyncio.gather(*(site.call(number, "/once/x", ENDS) for number in range(3)))
-                await asyncio.sleep(RETURN_SECONDS)
+                await asyncio.gather(
+                    *(site.call(number, "/once/x", FATAL_BODY) for number in range(3))
+                )
+                await asyncio.sleep(RETRY_SECONDS)
             before = ends(site)
             for _ in range(3):
-                calls = [site.call(number, "/once/x", ENDS) for number in [0, 1, 2] * 4]
+                calls = [site.call(number, "/once/x", FATAL_BODY) for number in [0, 1, 2] * 4]
                 answers = await asyncio.gather(*calls)
                 assert {status for status, _ in answers} <= {502, 503}
             assert ends(site) <= before + 1
 
-    play(tmp_path, story, gateways=3)
+    play(tmp_path, scenario, gateways=3)
 
 
-def test_operator_sees_it_and_lifts_it(tmp_path):
-    """After the targets were mended it runs again at once."""
+def test_operator_sees_and_lifts_the_quarantine(tmp_path):
+    """Once the targets are repaired and the quarantine is lifted, the request runs again."""
 
-    async def story(site):
+    async def scenario(site):
         await start(site, "plain")
-        async with kept_alive(site):
+        async with targets_restarted(site):
             await until_refused_everywhere(site)
         leader = site.group.daemons["a"].leader
         status = await leader.call(StatusRequest(), 5.0)
@@ -210,7 +210,7 @@
         lifted = await leader.call(LiftRequest(digest=found.digest, operator="eva"), 5.0)
         assert lifted.lifted
         async with asyncio.timeout(5):
-            while (await site.call(0, "/once/x", ENDS))[0] != 200:
+            while (await site.call(0, "/once/x", FATAL_BODY))[0] != 200:
                 await asyncio.sleep(0.05)
 
-    play(tmp_path, story)
+    play(tmp_path, scenario)
--- a/tests/passthrough/test_rests_soak.py
+++ b/tests/passthrough/test_rests_soak.py
@@ -1,4 +1,7 @@
-"""Random days in which targets ask for rest, name limits, leave and fail keep every word."""
+"""Random days of targets that ask for backoffs, name rate limits, shut down and fail.
+
+The gateway must respect every notice of the targets.
+"""
 
 import pytest
 
@@ -6,5 +9,5 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_day_keeps_every_word(seed):
+def test_random_day_respects_all_notices(seed):
     assert play_day(seed) == []
--- a/tests/passthrough/test_streams.py
+++ b/tests/passthrough/test_streams.py
@@ -1,4 +1,7 @@
-"""Streams arrive whole and once, or visibly broken; resumable ones go on elsewhere."""
+"""Streams arrive complete and once, or visibly broken; resumable ones continue elsewhere.
+
+The tests also cover stages: their results are released, and run again if they are lost.
+"""
 
 import asyncio
 
@@ -15,7 +18,7 @@
     return b"".join(b"id: %d\ndata: event %d\n\n" % (n, n) for n in range(1, count + 1))
 
 
-async def _play(path, faults, runners=2, **options):
+async def _send_request(path, faults, runners=2, **options):
     engines = [await Runner(f"e-{i}", events=8, faults=faults).start() for i in range(runners)]
     try:
         pools = [("engine", engine) for engine in engines]
@@ -26,20 +29,20 @@
             await engine.stop()
 
 
-def test_whole_stream_is_passed_on():
-    (status, headers, body), _ = run(_play("/events/x", []))
+def test_complete_stream_is_passed_on():
+    (status, headers, body), _ = run(_send_request("/events/x", []))
     assert (status, body) == (200, whole(8))
     assert headers["X-Kind"] == "stream"
 
 
-def test_broken_stream_is_not_taken_for_whole():
+def test_broken_stream_is_not_taken_for_complete():
     with pytest.raises(aiohttp.ClientError):
-        run(_play("/events/x", ["reset in the body"]))
+        run(_send_request("/events/x", ["reset in the body"]))
 
 
-def test_resumable_stream_goes_on_at_another_target():
+def test_resumable_stream_continues_at_another_target():
     (status, headers, body), engines = run(
-        _play("/events/x", ["reset in the body"], resumable=True, max_attempts=4, runners=4)
+        _send_request("/events/x", ["reset in the body"], resumable=True, max_attempts=4, runners=4)
     )
     assert (status, body) == (200, whole(8))
     runs = [request for engine in engines for request in engine.runs]
@@ -49,7 +52,7 @@
 
 
 def test_resumable_stream_stays_within_its_attempts():
-    async def play():
+    async def scenario():
         engines = [
             await Runner(f"e-{i}", events=8, faults=["reset in the body"] * 9).start()
             for i in range(4)
@@ -65,11 +68,11 @@
             for engine in engines:
                 await engine.stop()
 
-    assert run(play()) == 2
+    assert run(scenario()) == 2
 
 
 @pytest.mark.parametrize("step", range(1, 25))
-def test_events_are_cut_at_their_ends(step):
+def test_events_are_split_at_their_ends(step):
     data = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata"
     splitter = EventSplitter()
     events = []
@@ -87,7 +90,7 @@
     assert follows(b"data: x\n\n", "7") and is_next(b"data: x\n\n", "7")
 
 
-async def _staged(worker_faults=(), counts="3,2", room=10**9, workers=2):
+async def _send_staged_request(worker_faults=(), counts="3,2", room=10**9, workers=2):
     engine = await Runner("e-1", events=3).start()
     batches = [
         await Runner(f"s-{i}", batch=4, room=room, faults=worker_faults).start()
@@ -107,9 +110,9 @@
 
 
 @pytest.mark.parametrize("fault", ["none", "not run", "closed after running"])
-def test_stages_are_made_whole_and_given_up(fault):
+def test_stages_run_completely_and_their_results_are_released(fault):
     faults = [] if fault == "none" else [fault]
-    (status, _, body), engine, workers = run(_staged(faults))
+    (status, _, body), engine, workers = run(_send_staged_request(faults))
     assert (status, body) == (200, whole(3))
     inputs = engine.runs[0]["headers"]["traystall-inputs"].split(",")
     assert len(inputs) == len(set(inputs)) == 2
@@ -127,7 +130,7 @@
 
 @pytest.mark.parametrize("lost_at", ["engine", "worker"])
 def test_stages_are_run_again_when_results_are_lost(lost_at):
-    async def play():
+    async def scenario():
         engine = await Runner("e-1", events=3).start()
         worker = await Runner("s-0").start()
         if lost_at == "engine":
@@ -145,17 +148,17 @@
             await engine.stop()
             await worker.stop()
 
-    (status, _, body), engine, worker = run(play())
+    (status, _, body), engine, worker = run(scenario())
     assert (status, body) == (200, whole(3))
     assert len(engine.runs) == 1
     assert not worker.held
 
 
 @pytest.mark.parametrize("worker_faults", [[], ["closed after running"] * 99])
-def test_resumed_stream_with_stages_is_whole_or_visibly_broken(worker_faults):
-    """Found on the users' bench: an answer of our own landed inside a stream (seed in findings)."""
+def test_resumed_stream_with_stages_is_complete_or_visibly_broken(worker_faults):
+    """An error response of the gateway must not be written into a stream that has begun."""
 
-    async def play():
+    async def scenario():
         engines = [await Runner(f"e-{i}", events=8).start() for i in range(2)]
         for engine in engines:
             engine.faults.append("reset in the body")
@@ -179,17 +182,17 @@
 
     if worker_faults:
         with pytest.raises(aiohttp.ClientError):
-            run(play())
+            run(scenario())
         return
-    (status, _, body), engines, worker = run(play())
+    (status, _, body), engines, worker = run(scenario())
     assert (status, body) == (200, whole(8))
     resumed = next(r for e in engines for r in e.runs if "last-event-id" in r["headers"])
     assert resumed["headers"]["traystall-inputs"]
     assert len(worker.calls) == 4
 
 
-def test_results_are_given_up_again_when_a_worker_did_not_hear_it():
-    async def play():
+def test_failed_release_of_results_is_retried():
+    async def scenario():
         engine = await Runner("e-1", events=3).start()
         worker = await Runner("s-1", batch=4).start()
         worker.resets_frees = 2
@@ -204,20 +207,20 @@
         await worker.stop()
         return status
 
-    assert run(play()) == 200
+    assert run(scenario()) == 200
 
 
-def test_stage_without_pieces_is_left_out():
-    (status, _, _), engine, workers = run(_staged(counts="0,0"))
+def test_stage_without_pieces_is_skipped():
+    (status, _, _), engine, workers = run(_send_staged_request(counts="0,0"))
     assert status == 200
     assert "traystall-inputs" not in engine.runs[0]["headers"]
     assert not any(worker.calls for worker in workers)
 
 
-def test_request_that_is_over_is_no_longer_counted():
-    """One whose stage fails asks for nothing more: the book of begun requests ends empty."""
+def test_finished_request_is_no_longer_counted():
+    """A request whose stage fails leaves no expected pieces in the demand forecast."""
 
-    async def play():
+    async def scenario():
         worker = await Runner("s-0", faults=["closed after running"] * 99).start()
         try:
             routing = table(stages=STAGES, timeout=0.6)
@@ -228,27 +231,27 @@
         finally:
             await worker.stop()
 
-    status, book = run(play())
+    status, book = run(scenario())
     assert status == 503
     assert book.to_come("batches", 9) == 0
 
 
-def test_workers_that_are_full_for_a_while_are_asked_again():
-    """Two gateways that batch at once fill each other's workers for some calls."""
-    (status, _, body), _, workers = run(_staged(["not run"] * 8))
+def test_temporarily_full_workers_are_retried():
+    """Workers may be full for a few calls while two gateways batch at the same time."""
+    (status, _, body), _, workers = run(_send_staged_request(["not run"] * 8))
     assert (status, body) == (200, whole(3))
     assert sum(len(worker.rejected) for worker in workers) > 8
 
 
 def test_request_whose_stage_fails_has_not_run():
-    (status, headers, _), engine, _ = run(_staged(room=0))
+    (status, headers, _), engine, _ = run(_send_staged_request(room=0))
     assert status == 503
     assert float(headers["Retry-After"]) > 0
     assert not engine.runs
 
 
-def test_worker_that_others_have_filled_is_asked_before_it_is_called():
-    async def play():
+def test_free_memory_of_a_worker_filled_by_others_is_queried_first():
+    async def scenario():
         engine = await Runner("e-1", events=3).start()
         filled = await Runner("s-0", room=100).start()
         empty = await Runner("s-1", room=100).start()
@@ -256,7 +259,8 @@
         filled.held = {f"{filled.address}/other.{i}": None for i in range(100)}
         try:
             pools = [("engine", engine), ("batches", filled), ("batches", empty)]
-            # A long aim: on a busy machine calls are slow, and eight at once would be refused.
+            # A long latency aim: on a busy machine calls are slow, and eight concurrent requests
+            # would be refused.
             routes = table(stages=STAGES, result_lifetime=4.0, timeout=15.0, aim=10.0)
             async with EmulatedGateway(routes, pools) as gateway:
                 headers = {"Traystall-Pieces": "3,2", "Traystall-Piece-Key": "pk"}
@@ -264,7 +268,8 @@
                 calls_while_filled = list(filled.calls)
                 filled.held.clear()
                 while not filled.calls:
-                    # It is asked again while there is work, and then called again.
+                    # While there is work, the worker's free memory is queried again, and the worker
+                    # is then called.
                     many = (gateway.call("/staged/x", **headers) for _ in range(8))
                     answers += await asyncio.gather(*many)
                     await asyncio.sleep(0.05)
@@ -273,14 +278,14 @@
             for runner in (engine, filled, empty):
                 await runner.stop()
 
-    answers, while_filled, later = run(play())
+    answers, while_filled, later = run(scenario())
     assert {status for status, _, _ in answers} == {200}
     assert while_filled == []
-    assert later, "it is called again once the others' results are gone"
+    assert later, "the worker is called again once the others' results are gone"
 
 
-def test_pieces_of_a_silent_worker_are_made_elsewhere():
-    async def play():
+def test_pieces_of_a_silent_worker_run_elsewhere():
+    async def scenario():
         engine = await Runner("e-1", events=3).start()
         silent = await Runner("s-0", faults=["silent"] * 9).start()
         sound = await Runner("s-1").start()
@@ -294,6 +299,6 @@
             for runner in runners:
                 await runner.stop()
 
-    (status, _, body), silent = run(play())
+    (status, _, body), silent = run(scenario())
     assert (status, body) == (200, whole(3))
     assert silent.calls
--- a/tests/passthrough/test_targets_that_ask.py
+++ b/tests/passthrough/test_targets_that_ask.py
@@ -1,15 +1,13 @@
-"""A target that asked for rest, or said that it leaves, is left alone.
-
-A target answered 503 with `Retry-After: 3` at 33.704 s, and its gateway sent it requests 2.139,
-2.627 and 3.034 s later (`attempt`, at the end of 0.001 to 0.096 s; the third one arrived at
-36.679 s, the rest would have ended at 36.704 s). Six gateways logged eleven such answers in that
-day, and none sent that target anything in the first two seconds: the soonest came after 2.036 s. So
-what was asked for was heard and cut short: a full target was left alone for two seconds at most.
-
-That bound hid others. The time stood in the field of what failures taught: a later failure set it
-anew, it counted for nothing once all targets of a pool were doubtful, and only the choice of a
-target looked at it: not what was chosen before, nor pieces, releases of results, or an answer
-without the mark that the request has not run. That a target leaves was read from its reports alone.
+"""A target that asks for a backoff, or announces its shutdown, gets no requests.
+
+The failure: a target answered 503 with `Retry-After: 3` and got requests again after about 2 s,
+because the pause for a full target was capped at two seconds.
+
+The cap hid further faults. The pause was stored in the field for learned failures, so a later
+failure overwrote it, and it was ignored once all targets of a pool were suspected. Only the choice
+of a target checked it; requests already assigned, pieces, releases of results, and responses
+without the header for requests that have not run did not. A shutdown was recognised only from the
+target's reports.
 """
 
 import asyncio
@@ -20,30 +18,30 @@
 from tests.support.emulator.runner import Runner
 
 PIECES = {"Traystall-Pieces": "2,1", "Traystall-Piece-Key": "pk"}
-REST_SECONDS = 3.0
-# What is on its way may still reach a target that has just asked for rest.
-SLACK_SECONDS = 0.5
-MOST_IN_REST = 2
-# So long after a target has said that it leaves nothing new may reach it.
-LEAVING_SECONDS = 0.5
-PER_SECOND = 50
+BACKOFF_SECONDS = 3.0
+# Requests in transit may still reach a target that has just asked for a backoff.
+IN_TRANSIT_SECONDS = 0.5
+MAX_DURING_BACKOFF = 2
+# From this time after its announcement on, a target that shuts down gets no new work.
+SHUTDOWN_NOTICE_SECONDS = 0.5
+REQUESTS_PER_SECOND = 50
 
 
 async def start(pool, count, **options):
     return [await Runner(f"{pool}-{number}", **options).start() for number in range(count)]
 
 
-async def press(gateway, path, seconds, headers=None):
-    """Send requests at a steady pace for so long; return their statuses."""
+async def send_load(gateway, path, seconds, headers=None):
+    """Send requests at a constant rate; return the statuses of the responses."""
     calls = []
-    for _ in range(int(seconds * PER_SECOND)):
+    for _ in range(int(seconds * REQUESTS_PER_SECOND)):
         calls.append(asyncio.create_task(gateway.call(path, **(headers or {}))))
-        await asyncio.sleep(1 / PER_SECOND)
+        await asyncio.sleep(1 / REQUESTS_PER_SECOND)
     return [status for status, _, _ in await asyncio.gather(*calls)]
 
 
-def in_rest(runner, seconds=REST_SECONDS):
-    return runner.reached_within(SLACK_SECONDS, seconds)
+def reached_during_backoff(runner, seconds=BACKOFF_SECONDS):
+    return runner.reached_within(IN_TRANSIT_SECONDS, seconds)
 
 
 def pool_of(path):
@@ -55,22 +53,22 @@
     ("path", "options"),
     [("/again/x", {}), ("/once/x", {}), ("/events/x", {"events": 3})],
 )
-def test_target_beside_an_idle_one_gets_its_rest(path, options, marked):
-    async def story():
+def test_backoff_is_respected_beside_an_idle_target(path, options, marked):
+    async def scenario():
         resting, idle = await start(pool_of(path), 2, **options)
         resting.rests.append("3")
         resting.rests_marked = marked
         async with EmulatedGateway(table(), [(pool_of(path), resting)]) as gateway:
             await gateway.call(path)
             gateway.add(pool_of(path), idle)
-            statuses = await press(gateway, path, 4.0)
-        assert len(in_rest(resting)) <= MOST_IN_REST
+            statuses = await send_load(gateway, path, 4.0)
+        assert len(reached_during_backoff(resting)) <= MAX_DURING_BACKOFF
         assert set(statuses) == {200}
-        assert resting.reached_within(REST_SECONDS, 10.0)  # It is used again when it has rested.
+        assert resting.reached_within(BACKOFF_SECONDS, 10.0)  # It is used again after the backoff.
         for runner in (resting, idle):
             await runner.stop()
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize("count", [1, 2])
@@ -78,8 +76,8 @@
     ("path", "options"),
     [("/again/x", {}), ("/once/x", {}), ("/events/x", {"events": 3})],
 )
-def test_pool_that_rests_as_a_whole_gets_nothing(path, options, count):
-    async def story():
+def test_pool_in_backoff_gets_no_requests(path, options, count):
+    async def scenario():
         runners = await start(pool_of(path), count, **options)
         for runner in runners:
             runner.rests.append("3")
@@ -87,18 +85,18 @@
         async with EmulatedGateway(table(), pools) as gateway:
             while any(runner.rests for runner in runners):
                 await gateway.call(path)
-            statuses = await press(gateway, path, 4.0)
-        assert max(len(in_rest(runner)) for runner in runners) <= MOST_IN_REST
+            statuses = await send_load(gateway, path, 4.0)
+        assert max(len(reached_during_backoff(runner)) for runner in runners) <= MAX_DURING_BACKOFF
         assert set(statuses) == {200, 503}
         for runner in runners:
             await runner.stop()
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize("count", [1, 2])
-def test_workers_get_their_rest(count):
-    async def story():
+def test_backoff_of_workers_is_respected(count):
+    async def scenario():
         workers = await start("batches", count, batch=4)
         (engine,) = await start("engine", 1, events=3)
         workers[0].rests.append("3")
@@ -106,37 +104,37 @@
         async with EmulatedGateway(table(stages=STAGES), pools) as gateway:
             while workers[0].rests:
                 await gateway.call("/staged/x", **PIECES)
-            statuses = await press(gateway, "/staged/x", 4.0, PIECES)
-        assert len(in_rest(workers[0])) <= MOST_IN_REST
+            statuses = await send_load(gateway, "/staged/x", 4.0, PIECES)
+        assert len(reached_during_backoff(workers[0])) <= MAX_DURING_BACKOFF
         assert set(statuses) <= ({200} if count > 1 else {200, 503})
         for runner in (*workers, engine):
             await runner.stop()
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
     ("path", "options"),
     [("/again/x", {}), ("/once/x", {}), ("/events/x", {"events": 3})],
 )
-def test_target_that_says_in_its_answers_that_it_leaves_gets_no_new_work(path, options):
-    async def story():
+def test_target_that_announces_its_shutdown_gets_no_new_work(path, options):
+    async def scenario():
         leaving, other = await start(pool_of(path), 2, **options)
         leaving.leaves = True
         async with EmulatedGateway(table(), [(pool_of(path), leaving)]) as gateway:
             assert (await gateway.call(path))[0] == 200
             gateway.add(pool_of(path), other)
-            statuses = await press(gateway, path, 1.5)
-        assert leaving.reached_since_left(LEAVING_SECONDS) == []
+            statuses = await send_load(gateway, path, 1.5)
+        assert leaving.reached_since_left(SHUTDOWN_NOTICE_SECONDS) == []
         assert set(statuses) == {200}
         for runner in (leaving, other):
             await runner.stop()
 
-    run(story())
+    run(scenario())
 
 
-def test_worker_that_leaves_gets_no_new_pieces_and_its_results_are_given_up_there():
-    async def story():
+def test_leaving_worker_gets_only_releases_of_its_results():
+    async def scenario():
         leaving, other = await start("batches", 2, batch=4)
         (engine,) = await start("engine", 1, events=3)
         leaving.leaves = True
@@ -144,13 +142,13 @@
         async with EmulatedGateway(table(stages=STAGES), pools) as gateway:
             while leaving.left_at is None:
                 assert (await gateway.call("/staged/x", **PIECES))[0] == 200
-            statuses = await press(gateway, "/staged/x", 1.5, PIECES)
+            statuses = await send_load(gateway, "/staged/x", 1.5, PIECES)
             await asyncio.sleep(0.1)
             assert not leaving.held
-        reached = leaving.reached_since_left(LEAVING_SECONDS)
+        reached = leaving.reached_since_left(SHUTDOWN_NOTICE_SECONDS)
         assert [path for path in reached if path.endswith("/pieces/run")] == []
         assert set(statuses) == {200}
         for runner in (leaving, other, engine):
             await runner.stop()
 
-    run(story())
+    run(scenario())
--- a/tests/passthrough/test_targets_that_name_a_limit.py
+++ b/tests/passthrough/test_targets_that_name_a_limit.py
@@ -1,14 +1,11 @@
-"""A target that names a limit for all gateways together gets no more than that allows.
+"""The requests of all gateways together stay within the rate limit that a target names.
 
-An engine began at 8.0 s to say in all its answers that it takes one request a second from all
-gateways together. In the eight seconds before it got 1.75 requests a second, in the twelve after
-2.25, from each of nine gateways, as its eight neighbours did; at 15.235, 15.510, 15.836 and
-15.868 s four came from three gateways, and at 16.688 s one more than any four seconds may hold.
-No line of any log changed at 8.0 s. So nobody had read the word.
+The failure: an engine began to name a limit of one request per second in all its responses, but
+the gateways did not read it. Nine gateways sent it 1.75 requests per second before and 2.25 after.
 
-Each gateway keeping to it by itself would not do: nine of them that send one a second each are
-nine times the limit, and 195 that send a single request after a quiet spell break it in one
-moment.
+A limit per gateway is not sufficient: nine gateways that each send one request per second reach
+nine times the limit, and 195 gateways that each send a single request after an idle period exceed
+it at once.
 """
 
 import asyncio
@@ -17,26 +14,26 @@
 
 from tests.support.site import STAGED, entities, play
 
-LIMIT = 1.0
-SPAN_SECONDS = 4.0
-# From so long after the first answer with the word all gateways together keep to it.
-KNOWN_SECONDS = 3.0
-ALLOWED = 1.5 * LIMIT * SPAN_SECONDS + 5
+LIMIT_PER_SECOND = 1.0
+WINDOW_SECONDS = 4.0
+# All gateways together respect the limit from this time after the first response that names it.
+PROPAGATION_SECONDS = 3.0
+MAX_REQUESTS = 1.5 * LIMIT_PER_SECOND * WINDOW_SECONDS + 5
 GATEWAYS = 6
-PER_SECOND = 40
-PRESSED_SECONDS = 12.0
+REQUESTS_PER_SECOND = 40
+LOAD_SECONDS = 12.0
 PATHS = ("/plain/x", "/once/x", "/staged/x")
 
 
-async def press(site, seconds):
-    """Send requests of each kind at a steady pace, spread evenly; return status by path."""
+async def send_load(site, seconds):
+    """Send requests to all paths and gateways at a constant rate; return the statuses by path."""
     calls = []
-    for number in range(int(seconds * PER_SECOND)):
+    for number in range(int(seconds * REQUESTS_PER_SECOND)):
         path = PATHS[number % len(PATHS)]
         headers = STAGED if path == "/staged/x" else {}
         gateway = number // len(PATHS) % GATEWAYS
         calls.append((path, asyncio.create_task(site.call(gateway, path, **headers))))
-        await asyncio.sleep(1 / PER_SECOND)
+        await asyncio.sleep(1 / REQUESTS_PER_SECOND)
     found = {path: [] for path in PATHS}
     for path, call in calls:
         found[path].append((await call)[0])
@@ -44,45 +41,48 @@
 
 
 @pytest.mark.parametrize("others", [1, 0])
-def test_all_gateways_together_keep_to_a_limit(tmp_path, others):
-    async def story(site):
+def test_all_gateways_together_respect_a_rate_limit(tmp_path, others):
+    async def scenario(site):
         limited, kinds = [], {"plain": {}, "engine": {"events": 3}, "batches": {"batch": 4}}
         for pool, options in kinds.items():
             limited.append(await site.add(pool, **options))
             for _ in range(others):
                 await site.add(pool, **options)
         if not others:
-            # Else no request comes as far as the engine: its stages alone take longer than it may.
+            # The engine stays unlimited here: the stages alone take longer than a request may, so
+            # no request would reach the engine.
             limited.pop()
         await site.group.apply_entities("a", 1, entities())
         await site.until_all("/plain/x", 200)
         for runner in limited:
-            runner.limit = str(LIMIT)
-        statuses = await press(site, PRESSED_SECONDS)
-        most = {r.identity: r.most_within(SPAN_SECONDS, KNOWN_SECONDS) for r in limited}
-        assert max(most.values()) <= ALLOWED, most
-        assert min(most.values()) > 0, most
+            runner.limit = str(LIMIT_PER_SECOND)
+        statuses = await send_load(site, LOAD_SECONDS)
+        peaks = {r.identity: r.most_within(WINDOW_SECONDS, PROPAGATION_SECONDS) for r in limited}
+        assert max(peaks.values()) <= MAX_REQUESTS, peaks
+        assert min(peaks.values()) > 0, peaks
         for path, found in statuses.items():
             assert set(found) <= ({200} if others else {200, 503}), path
 
-    play(tmp_path, story, GATEWAYS)
+    play(tmp_path, scenario, GATEWAYS)
 
 
-def test_all_gateways_together_keep_to_the_limit_of_a_lone_worker(tmp_path):
-    """No stage is made elsewhere: what its calls, releases and reports are all comes from one."""
+def test_all_gateways_together_respect_the_rate_limit_of_a_single_worker(tmp_path):
+    """All stages run at one worker, so its calls, releases and reports share one rate limit."""
 
-    async def story(site):
+    async def scenario(site):
         kinds = {"plain": {}, "engine": {"events": 3}, "batches": {"batch": 4}}
         limited = {pool: await site.add(pool, **options) for pool, options in kinds.items()}
         await site.group.apply_entities("a", 1, entities())
         await site.until_all("/plain/x", 200)
         for runner in limited.values():
-            runner.limit = str(LIMIT)
-        statuses = await press(site, PRESSED_SECONDS)
-        most = {pool: r.most_within(SPAN_SECONDS, KNOWN_SECONDS) for pool, r in limited.items()}
-        assert max(most.values()) <= ALLOWED, most
-        assert most["batches"] > 0, most
-        assert most["plain"] > 0, most
+            runner.limit = str(LIMIT_PER_SECOND)
+        statuses = await send_load(site, LOAD_SECONDS)
+        peaks = {
+            pool: r.most_within(WINDOW_SECONDS, PROPAGATION_SECONDS) for pool, r in limited.items()
+        }
+        assert max(peaks.values()) <= MAX_REQUESTS, peaks
+        assert peaks["batches"] > 0, peaks
+        assert peaks["plain"] > 0, peaks
         assert all(set(found) <= {200, 503} for found in statuses.values()), statuses
 
-    play(tmp_path, story, GATEWAYS)
+    play(tmp_path, scenario, GATEWAYS)
