--- a/benchmarks/admission_cost.py
+++ b/benchmarks/admission_cost.py
@@ -7,7 +7,7 @@
 
 import time
 
-from traystall.passthrough.admission.book import AdmissionBook, Arrival
+from traystall.passthrough.admission.controller import AdmissionController, AdmissionRequest
 from traystall.passthrough.admission.forecast import PoolLoad
 from traystall.routes.models import Route, Split, StagePlan
 
@@ -23,11 +23,11 @@
 
 def measure(under_way: int) -> float:
     """Return the microseconds of one question beside so many requests under way."""
-    book = AdmissionBook()
+    book = AdmissionController()
     for number in range(under_way):
-        arrival = Arrival(f"r{number}", _ROUTE, _COUNTS, 1, 1e9, 6.0, f"m{number}")
+        arrival = AdmissionRequest(f"r{number}", _ROUTE, _COUNTS, 1, 1e9, 6.0, f"m{number}")
         book.admit(arrival, _loads(1e9), number / max(1, under_way))
-    arrival = Arrival("last", _ROUTE, _COUNTS, 1, -1.0, 6.0, "last")
+    arrival = AdmissionRequest("last", _ROUTE, _COUNTS, 1, -1.0, 6.0, "last")
     loads = _loads(10.0)
     began = time.perf_counter()
     for _ in range(_QUESTIONS):
--- a/benchmarks/registry.py
+++ b/benchmarks/registry.py
@@ -57,7 +57,7 @@
             lambda: [daemon.address for daemon in daemons if daemon is not self],
         )
         self.follower.merge = self._merge
-        self.follower.saw = self.service.registry.saw
+        self.follower.record_seen = self.service.registry.record_seen
 
     def _merge(self, report, seen_at):
         if self.service.registry.merge(report, seen_at):
@@ -155,7 +155,7 @@
             Links(self.daemons, self.tally), "gateway", lambda: [d.address for d in self.daemons]
         )
         follower.merge = self.registry.merge
-        follower.saw = self.registry.saw
+        follower.record_seen = self.registry.record_seen
         runs = [target.run_forever() for target in self.targets]
         runs += [daemon.follower.follow_forever() for daemon in self.daemons]
         self._tasks = [asyncio.create_task(run) for run in (*runs, follower.follow_forever())]
--- a/benchmarks/rests.py
+++ b/benchmarks/rests.py
@@ -14,9 +14,9 @@
 from traystall.core import clock
 from traystall.passthrough.dialect import HeaderNames
 from traystall.passthrough.exchange.connection import ResponseHead, TargetConnection
-from traystall.passthrough.health.asking import AskingWatch
 from traystall.passthrough.health.board import TargetBoard
-from traystall.passthrough.health.places import DataCentreWatch
+from traystall.passthrough.health.data_centre_monitor import DataCentreMonitor
+from traystall.passthrough.health.notices import TargetNoticeMonitor
 from traystall.registry.models import TargetReport
 
 _RESTING_PART = 100
@@ -26,12 +26,12 @@
 def make_board(targets: int) -> TargetBoard:
     """Return a board with one pool of so many targets, a hundredth of them at rest."""
     now = clock.monotonic()
-    board = TargetBoard(random.Random(1), lambda pool: 10, DataCentreWatch("here"))
+    board = TargetBoard(random.Random(1), lambda pool: 10, DataCentreMonitor("here"))
     for number in range(targets):
         address = f"10.0.{number // 250}.{number % 250}:80"
         board.merge(TargetReport(f"t{number}", "p", address, "here", slots=4), now)
         if number % _RESTING_PART == 0:
-            board.view(f"t{number}").asked.ask_rest(_REST_SECONDS, "r", now)
+            board.view(f"t{number}").availability.request_backoff(_REST_SECONDS, "r", now)
     return board
 
 
@@ -47,14 +47,14 @@
     """Print the cost of each look."""
     board = make_board(targets)
     now = clock.monotonic()
-    watch = AskingWatch(HeaderNames(), lambda: None)
+    watch = TargetNoticeMonitor(HeaderNames(), lambda: None)
     head = ResponseHead(200, [(b"X-Header-%d" % n, b"value") for n in range(12)])
     connection, view = TargetConnection(), board.view("t1")
     looks = {
         "targets to which work may go": lambda: board.usable("p", now, now),
-        "whether a pool rests as a whole": lambda: board.rest_left("p", now),
-        "whom another gateway shall not choose": lambda: board.held_back("p", now),
-        "head of an answer": lambda: watch.heard(view, connection, head),
+        "whether a pool rests as a whole": lambda: board.backoff_left("p", now),
+        "whom another gateway shall not choose": lambda: board.unavailable("p", now),
+        "head of an answer": lambda: watch.on_response_head(view, connection, head),
     }
     for name, look in looks.items():
         print(f"{name}: {microseconds(look, calls):.1f} us")
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -8,7 +8,7 @@
 import time
 import tracemalloc
 
-from traystall.admission.demand import Demand
+from traystall.admission.demand import DemandTracker
 from traystall.rpc.gen.wire.ttypes import StageReply, StageRequest
 from traystall.rpc.messages import encode
 
@@ -18,14 +18,14 @@
 _SECONDS = 10.0
 
 
-def ask_all(customers: int) -> Demand:
+def ask_all(customers: int) -> DemandTracker:
     """Return the demand after each of so many customers has asked once in 10 s."""
-    demand = Demand()
+    demand = DemandTracker()
     for number in range(customers):
         now = number * _SECONDS / customers
-        demand.asked("kind", f"customer-{number}", _PIECES, now)
-        demand.work_out(_RATES, now)
-        demand.may_begin("kind", f"customer-{number}")
+        demand.requested("kind", f"customer-{number}", _PIECES, now)
+        demand.update_shares(_RATES, now)
+        demand.may_start("kind", f"customer-{number}")
     return demand
 
 
@@ -42,7 +42,7 @@
     held = ask_all(customers)
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return size / max(1, held.rows())
+    return size / max(1, held.customer_count())
 
 
 def bytes_told() -> tuple[int, int]:
--- a/tests/admission/test_demand.py
+++ b/tests/admission/test_demand.py
@@ -2,24 +2,24 @@
 
 import pytest
 
-from traystall.admission.demand import Demand
+from traystall.admission.demand import DemandTracker
 
 PIECES = {"p": 1}
 
 
 def ask(demand, kind, customer, now, rates):
     """Ask to begin; return whether it was let in."""
-    demand.asked(kind, customer, PIECES, now)
-    demand.work_out(rates, now)
-    if not demand.may_begin(kind, customer):
+    demand.requested(kind, customer, PIECES, now)
+    demand.update_shares(rates, now)
+    if not demand.may_start(kind, customer):
         return False
-    demand.begins(kind, customer)
+    demand.record_start(kind, customer)
     return True
 
 
 def rush(rates, seconds=10.0, asks=(("patient", "a", 50.0), ("quick", "b", 10.0))):
     """Return which part of its requests each pair of kind and customer began, after a second."""
-    demand = Demand()
+    demand = DemandTracker()
     times = sorted(
         (number / rate, kind, customer)
         for kind, customer, rate in asks
@@ -58,7 +58,7 @@
 
 
 def test_a_rush_that_is_over_binds_nobody():
-    demand = Demand()
+    demand = DemandTracker()
     for number in range(100):
         ask(demand, "k", "a", number * 0.01, {"p": 10.0})
     assert demand.part("k").pool == "p"
@@ -67,11 +67,11 @@
 
 
 def test_rows_of_those_who_ask_no_more_go():
-    demand = Demand()
+    demand = DemandTracker()
     for number in range(16_000):
-        demand.asked("k", f"c{number}", PIECES, number * 0.01)
-    demand.work_out({}, 160.0)
-    assert demand.rows() <= 1_002
-    demand.work_out({}, 300.0)
-    assert demand.rows() == 0
+        demand.requested("k", f"c{number}", PIECES, number * 0.01)
+    demand.update_shares({}, 160.0)
+    assert demand.customer_count() <= 1_002
+    demand.update_shares({}, 300.0)
+    assert demand.customer_count() == 0
     assert demand.part("k").part == 1.0
--- a/tests/admission/test_patience.py
+++ b/tests/admission/test_patience.py
@@ -1,6 +1,6 @@
 """Which pools are shared by parts follows from aims and profiles in the configuration."""
 
-from traystall.admission.patience import shared_pools, slack, tight_pools, uneven_pools
+from traystall.admission.pool_sharing import shared_pools, slack, tight_pools, uneven_pools
 from traystall.routes.models import BatchProfile, Pool, Route, Split, StagePlan
 
 # Calls of 0.4 s when they are full.
--- a/tests/cli/test_reference.py
+++ b/tests/cli/test_reference.py
@@ -68,7 +68,7 @@
 
 # Decisions of the pass-through gateway that a test drives without a loop or a socket.
 PURE = [
-    "admission/book",
+    "admission/controller",
     "admission/calibration",
     "admission/crowding",
     "admission/forecast",
@@ -108,7 +108,7 @@
     assert inside <= set(PURE)
 
 
-@pytest.mark.parametrize("name", ["rendezvous", "permits", "target_limits", "rests"])
+@pytest.mark.parametrize("name", ["rendezvous", "permits", "target_limits", "retry_after"])
 def test_decisions_of_both_gateways_import_nothing_that_waits_or_tells_the_time(name):
     path = ROOT / "traystall" / "systems" / f"{name}.py"
     modules = {module for node in ast.walk(ast.parse(path.read_text())) for module in named(node)}
--- a/tests/cli/test_rests.py
+++ b/tests/cli/test_rests.py
@@ -12,8 +12,8 @@
 from traystall.core import clock
 from traystall.http.router import Router
 from traystall.http.server import HttpServer
-from traystall.passthrough.health.pages import LimitPages, RestPages
-from traystall.systems.target_limits import LimitWord
+from traystall.passthrough.health.pages import BackoffPages, LimitPages
+from traystall.systems.target_limits import AnnouncedLimit
 
 SECRET = "the secret of the cluster"
 
@@ -24,10 +24,10 @@
     async def bounded():
         targets = [("plain", await Runner(f"t-{number}").start()) for number in range(2)]
         async with asyncio.timeout(20), EmulatedGateway(table(), targets) as gateway:
-            asked = gateway.context.board.view("t-0").asked
-            asked.ask_rest(30.0, "r-asked", clock.monotonic())
+            availability = gateway.context.board.view("t-0").availability
+            availability.request_backoff(30.0, "r-asked", clock.monotonic())
             router = Router()
-            RestPages(gateway.context.board, secret).add_to(router)
+            BackoffPages(gateway.context.board, secret).add_to(router)
             LimitPages(gateway.context.board, gateway.context.permits).add_to(router)
             server = HttpServer(router.handle)
             await server.listen("127.0.0.1:0")
@@ -41,7 +41,7 @@
 
 def test_list_shows_who_rests_until_when_and_at_whose_word(capsys):
     async def story(gateway, address):
-        leaving = gateway.context.board.view("t-1").asked
+        leaving = gateway.context.board.view("t-1").availability
         leaving.leaves = True
         await asyncio.to_thread(Rests("", "json").list, address)
         rests, leaves = json.loads(capsys.readouterr().out)["targets"]
@@ -62,7 +62,7 @@
 def test_list_shows_who_is_limited_to_what_by_whose_word_and_what_was_lent(capsys):
     async def story(gateway, address):
         permits, now = gateway.context.permits, clock.monotonic()
-        permits.hear("t-1", LimitWord(2.5), now, "r-named")
+        permits.observe_answer("t-1", AnnouncedLimit(2.5), now, "r-named")
         await permits.take("t-1", "here")
         await asyncio.to_thread(Limits("", "json").list, address)
         (limited,) = json.loads(capsys.readouterr().out)["targets"]
@@ -86,10 +86,10 @@
 def test_lift_lets_work_go_there_again(capsys, secret):
     async def story(gateway, address):
         now = clock.monotonic()
-        assert not gateway.context.board.view("t-0").asked.may_get_work(now)
+        assert not gateway.context.board.view("t-0").availability.may_send_work(now)
         await asyncio.to_thread(Rests(secret, "json").lift, address, "t-0")
         assert json.loads(capsys.readouterr().out) == {"lifted": True}
-        assert gateway.context.board.view("t-0").asked.may_get_work(now)
+        assert gateway.context.board.view("t-0").availability.may_send_work(now)
         await asyncio.to_thread(Rests(secret, "json").lift, address, "t-0")
         assert json.loads(capsys.readouterr().out) == {"lifted": False}
 
@@ -101,7 +101,7 @@
         for secret in ("", "another"):
             with pytest.raises(Refused, match="forbidden"):
                 await asyncio.to_thread(Rests(secret, "json").lift, address, "t-0")
-        assert gateway.context.board.view("t-0").asked.rests(clock.monotonic())
+        assert gateway.context.board.view("t-0").availability.is_backing_off(clock.monotonic())
 
     play(story)
 
--- a/tests/consensus/test_breakages.py
+++ b/tests/consensus/test_breakages.py
@@ -13,7 +13,7 @@
 from traystall.consensus.quorum import reached_by_majority
 from traystall.consensus.replica import Replica
 from traystall.core.exceptions import ConsensusError
-from traystall.evacuations.held import HeldEvacuations, from_wire
+from traystall.evacuations.cache import EvacuationCache, from_wire
 from traystall.evacuations.models import OrderEvacuation
 from traystall.evacuations.state import Evacuations
 from traystall.gateway.configuration import HeldRevision
@@ -309,7 +309,7 @@
         self.places = from_wire(told)
         return True
 
-    patch.setattr(HeldEvacuations, "take", take)
+    patch.setattr(EvacuationCache, "take", take)
 
 
 def evacuation_answered_before_commit(patch):
--- a/tests/consensus/test_suspects.py
+++ b/tests/consensus/test_suspects.py
@@ -7,13 +7,13 @@
 from tests.support.group import Group
 from tests.support.hosts import Breach
 from traystall.core.exceptions import ConsensusError
-from traystall.quarantine.held import HeldSuspects
+from traystall.quarantine.cache import SuspectCache
 from traystall.quarantine.models import (
-    MOST_TRIALS,
+    MAX_TRIALS,
     BeginTrial,
     EndedRun,
-    Event,
     ReportRuns,
+    SuspectEvent,
     Verdict,
 )
 from traystall.quarantine.state import SuspectTable
@@ -32,7 +32,7 @@
 
     def __init__(self, seed, size=3):
         super().__init__(seed, size)
-        self.held = [HeldSuspects() for _ in range(2)]
+        self.held = [SuspectCache() for _ in range(2)]
         self.granted = {digest: set() for digest in DIGESTS}
         self.refused = set()
         self.told = {}
@@ -54,8 +54,8 @@
         command = ReportRuns((ended,), (), (), self.time)
         host.propose(command, self._reported)
 
-    def _reported(self, news):
-        self.refused |= {one.digest for one in news if one.event is Event.REFUSED}
+    def _reported(self, updates):
+        self.refused |= {one.digest for one in updates if one.event is SuspectEvent.REFUSED}
 
     def _ask(self):
         host = self._any(lambda h: h.runs and h.replica.is_leader)
@@ -75,7 +75,7 @@
             raise Breach(f"{digest} was refused, and then {result.verdict}")
         if result.verdict is Verdict.TRIAL:
             self.granted[digest].add(trial)
-            if len(self.granted[digest]) > MOST_TRIALS:
+            if len(self.granted[digest]) > MAX_TRIALS:
                 raise Breach(f"{digest} got {len(self.granted[digest])} trials")
 
     def _watch_suspects(self):
@@ -136,13 +136,13 @@
 
 def gateway_takes_any_version(patch):
     """A gateway takes an earlier version for news."""
-    original = HeldSuspects.take
+    original = SuspectCache.take
 
     def take(self, told):
         self.version = -1
         return original(self, told)
 
-    patch.setattr(HeldSuspects, "take", take)
+    patch.setattr(SuspectCache, "take", take)
 
 
 @pytest.mark.parametrize(
--- a/tests/control/test_directory_watch.py
+++ b/tests/control/test_directory_watch.py
@@ -8,7 +8,7 @@
 from traystall.control.directory import GATHER_SECONDS
 from traystall.control.subscribers import WATCH_HOLD, Subscribers
 from traystall.core import clock
-from traystall.evacuations.models import EvacuatedPlaces
+from traystall.evacuations.models import EvacuatedDataCentres
 from traystall.rpc.gen.wire.ttypes import GatewayRecord, WatchRequest
 
 # What a machine busy with other tests may add, in seconds.
@@ -119,7 +119,7 @@
 
 
 def evacuate(node):
-    node.state.evacuations.places = EvacuatedPlaces(1, frozenset({"a"}))
+    node.state.evacuations.places = EvacuatedDataCentres(1, frozenset({"a"}))
 
 
 @pytest.mark.parametrize("change", [revise, evacuate])
--- a/tests/control/test_orders_at_rest.py
+++ b/tests/control/test_orders_at_rest.py
@@ -12,8 +12,8 @@
 
 from tests.support.raw_target import RawTarget
 from traystall.control.order_client import LIMITED, RESTING, OrderClient
+from traystall.permits.lenders import LenderRanking
 from traystall.permits.permits import Permits
-from traystall.permits.ranks import LenderRanks
 from traystall.tables.entities import Target
 
 
@@ -31,8 +31,8 @@
 
 
 def lone_permits():
-    permits = Permits("control-1", list, random.Random(1), LenderRanks("control-1", 0.0))
-    permits.note_serving()
+    permits = Permits("control-1", list, random.Random(1), LenderRanking("control-1", 0.0))
+    permits.refresh_lenders()
     return permits
 
 
--- a/tests/evacuations/test_state.py
+++ b/tests/evacuations/test_state.py
@@ -5,8 +5,8 @@
 
 from traystall.control.state import StateMachine, StateSnapshot
 from traystall.core.serialization import pack
-from traystall.evacuations.held import HeldEvacuations, to_wire
-from traystall.evacuations.models import EvacuatedPlaces, OrderEvacuation
+from traystall.evacuations.cache import EvacuationCache, to_wire
+from traystall.evacuations.models import EvacuatedDataCentres, OrderEvacuation
 from traystall.evacuations.state import Evacuations
 from traystall.rpc.gen.wire.ttypes import Evacuated
 
@@ -58,7 +58,7 @@
     state.order(order("a", False))
     again = Evacuations()
     again.restore(state.snapshot())
-    assert again.places == EvacuatedPlaces(2, frozenset())
+    assert again.places == EvacuatedDataCentres(2, frozenset())
 
 
 def test_snapshot_of_an_earlier_release_evacuates_nothing():
@@ -66,12 +66,12 @@
     earlier = StateSnapshot(machine.catalog.snapshot(), machine.ledger.snapshot())
     machine.apply(pack(order("a", True)))
     machine.restore(pack(earlier))
-    assert machine.evacuations.places == EvacuatedPlaces()
+    assert machine.evacuations.places == EvacuatedDataCentres()
 
 
 @given(st.lists(st.tuples(st.integers(0, 9), st.sets(st.sampled_from("abc"))), max_size=20))
 def test_gateway_never_steps_back(told):
-    held = HeldEvacuations()
+    held = EvacuationCache()
     seen = []
     held.on_change.append(lambda before, after: seen.append((before.version, after.version)))
     for version, places in told:
@@ -81,8 +81,8 @@
 
 
 def test_peer_that_tells_nothing_changes_nothing():
-    held = HeldEvacuations()
-    held.take(to_wire(EvacuatedPlaces(3, frozenset("a"))))
+    held = EvacuationCache()
+    held.take(to_wire(EvacuatedDataCentres(3, frozenset("a"))))
     assert not held.take(None)
     assert not held.take(Evacuated())
-    assert held.places == EvacuatedPlaces(3, frozenset("a"))
+    assert held.places == EvacuatedDataCentres(3, frozenset("a"))
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -114,4 +114,4 @@
     late.offer = Offer(digest=b"d", size=100)
     # To fetch it would fail here: no address has a link.
     assert not asyncio.run(follower._take_from("a", late))
-    assert (follower.held.number, follower.newest_number) == (1, 1)
+    assert (follower.held.number, follower.newest_revision) == (1, 1)
--- a/tests/gateway/test_directory.py
+++ b/tests/gateway/test_directory.py
@@ -13,7 +13,7 @@
 from traystall.gateway.directory import FollowedDirectory
 from traystall.rpc.gen.wire.ttypes import GatewayRecord, WatchReply, WatchRequest
 from traystall.rpc.messages import decode, encode
-from traystall.tables.gateways import GATEWAY_LIFETIME, GatewayRow, GatewayTable
+from traystall.tables.gateways import GATEWAY_TIMEOUT_SECONDS, GatewayRow, GatewayTable
 
 # So few that the random sequences pass them.
 _REMEMBERED_DROPS = 3
@@ -99,7 +99,7 @@
     control.table.put(row("a"))
     control.table.put(row("b"))
     watch(followed, control, 0.0)
-    later = GATEWAY_LIFETIME + 1.0
+    later = GATEWAY_TIMEOUT_SECONDS + 1.0
     control.table.put(row("b", now=later, state="draining"))
     reply = watch(followed, control, later)
     assert reply.directory_dropped == ["a/1"] and reply.directory is None
@@ -166,7 +166,7 @@
     _put,
     _put,
     _put,
-    st.tuples(st.just("wait"), st.sampled_from([0.3, 1.0, GATEWAY_LIFETIME + 0.5])),
+    st.tuples(st.just("wait"), st.sampled_from([0.3, 1.0, GATEWAY_TIMEOUT_SECONDS + 0.5])),
     st.tuples(st.just("watch")),
     st.tuples(st.just("watch")),
     st.tuples(st.just("watch")),
--- a/tests/gateway/test_targets_at_rest.py
+++ b/tests/gateway/test_targets_at_rest.py
@@ -13,7 +13,7 @@
 from traystall.gateway.lookups import LookUps
 from traystall.gateway.news import note_asked
 from traystall.systems.membership import PresenceReport, on_report
-from traystall.tables.asked import FIRST_AFTER_REST
+from traystall.tables.availability import MAX_IN_FLIGHT_AFTER_BACKOFF
 from traystall.tables.targets import TargetRow
 
 REST_SECONDS = 2.0
@@ -64,7 +64,7 @@
 def test_pool_that_rests_as_a_whole_refuses_at_once():
     async def story(bench, targets):
         for number in range(2):
-            row_of(bench, number).asked.ask_rest(5.0 + number, "", clock.monotonic())
+            row_of(bench, number).availability.request_backoff(5.0 + number, "", clock.monotonic())
         began = clock.monotonic()
         sent = {"Traystall-Customer": "customer"}
         async with bench.session.post(bench.url, json={"input": "mark"}, headers=sent) as response:
@@ -85,7 +85,7 @@
 
         def take_late(row, priority):
             if row is first:
-                row.asked.ask_rest(5.0, "", clock.monotonic())
+                row.availability.request_backoff(5.0, "", clock.monotonic())
             take(row, priority)
 
         monkeypatch.setattr(TargetRow, "take", take_late)
@@ -103,12 +103,12 @@
     async def story(bench, targets):
         row = row_of(bench, 0)
         row.incarnation = "one"
-        row.asked.ask_rest(30.0, "", clock.monotonic())
+        row.availability.request_backoff(30.0, "", clock.monotonic())
         bench.declare(bench.rows, 2)
         assert row_of(bench, 0) is row
-        assert row.asked.rests(clock.monotonic() + 29)
+        assert row.availability.is_backing_off(clock.monotonic() + 29)
         on_report(row, PresenceReport(row.target.name, False, "two", first_hand=True))
-        assert not row.asked.rests(clock.monotonic())
+        assert not row.availability.is_backing_off(clock.monotonic())
 
     play(story, service_stage())
 
@@ -122,7 +122,7 @@
         if leaves:
             on_report(row, PresenceReport(row.target.name, True, "one", first_hand=True))
         else:
-            row.asked.ask_rest(30.0, "", clock.monotonic())
+            row.availability.request_backoff(30.0, "", clock.monotonic())
         rows = bench.rows
         bench.declare([one for one in rows if one is not row.target and one != row.target], 2)
         assert row_of(bench, 0) is None
@@ -136,7 +136,7 @@
 
 def test_request_waits_for_a_rest_that_ends_in_time():
     async def story(bench, targets):
-        row_of(bench, 0).asked.ask_rest(0.5, "", clock.monotonic())
+        row_of(bench, 0).availability.request_backoff(0.5, "", clock.monotonic())
         began = clock.monotonic()
         assert (await bench.ask("mark"))[0] == 200
         assert 0.4 < clock.monotonic() - began < 0.9
@@ -148,13 +148,13 @@
     async def story(bench, targets):
         row = row_of(bench, 0)
         row.share = 20
-        targets[0].faults = ["answered late"] * FIRST_AFTER_REST
-        row.asked.ask_rest(0.1, "", clock.monotonic())
+        targets[0].faults = ["answered late"] * MAX_IN_FLIGHT_AFTER_BACKOFF
+        row.availability.request_backoff(0.1, "", clock.monotonic())
         calls = [asyncio.create_task(bench.ask(f"mark {n}")) for n in range(10)]
         await asyncio.sleep(0.5)
-        assert len(targets[0].seen) == FIRST_AFTER_REST
+        assert len(targets[0].seen) == MAX_IN_FLIGHT_AFTER_BACKOFF
         assert {status for status, _ in await asyncio.gather(*calls)} == {200}
-        assert (row.asked.first, row.asked.is_returning) == (0, False)
+        assert (row.availability.recovery_in_flight, row.availability.is_recovering) == (0, False)
 
     play(story, service_stage(), targets=1, deadline=6.0)
 
@@ -162,12 +162,12 @@
 def test_shorter_rest_that_is_asked_later_is_waited_for():
     async def story(bench, targets):
         first, second = row_of(bench, 0), row_of(bench, 1)
-        first.asked.ask_rest(3.0, "", clock.monotonic())
-        second.asked.ask_rest(3.0, "", clock.monotonic())
+        first.availability.request_backoff(3.0, "", clock.monotonic())
+        second.availability.request_backoff(3.0, "", clock.monotonic())
         call = asyncio.create_task(bench.ask("mark"))
         await asyncio.sleep(0.1)
-        second.asked.lift()
-        second.asked.ask_rest(0.3, "", clock.monotonic())
+        second.availability.lift()
+        second.availability.request_backoff(0.3, "", clock.monotonic())
         other = asyncio.create_task(bench.ask("other"))
         began = clock.monotonic()
         assert {(await call)[0], (await other)[0]} == {200}
@@ -180,7 +180,7 @@
     async def story(bench, targets):
         row = row_of(bench, 0)
         note_asked(row, 429, CIMultiDict({"Retry-After": "31"}))
-        assert row.asked.rests(clock.monotonic() + 30.5)
+        assert row.availability.is_backing_off(clock.monotonic() + 30.5)
 
     play(story, service_stage())
 
@@ -208,12 +208,12 @@
 
     async def story(bench, targets):
         row = row_of(bench, 0)
-        row.asked.ask_rest(0.05, "", clock.monotonic())
+        row.availability.request_backoff(0.05, "", clock.monotonic())
         await asyncio.sleep(0.1)
         note_asked(row, 200, {})
-        assert row.asked.is_returning
+        assert row.availability.is_recovering
         assert (await bench.ask("mark"))[0] == 200
-        assert not row.asked.is_returning
+        assert not row.availability.is_recovering
 
     play(story, service_stage(), targets=1)
 
@@ -221,7 +221,7 @@
 def test_look_ups_leave_a_target_at_rest_alone():
     async def story(bench, targets):
         for number in range(2):
-            row_of(bench, number).asked.ask_rest(30.0, "", clock.monotonic())
+            row_of(bench, number).availability.request_backoff(30.0, "", clock.monotonic())
         looked = []
         get_json = bench.context.http.get_json
 
--- a/tests/gateway/test_transfer_liveness.py
+++ b/tests/gateway/test_transfer_liveness.py
@@ -9,7 +9,7 @@
 from tests.gateway.test_transfer import Source, random_entities
 from traystall.gateway.configuration import ConfigurationFollower
 from traystall.rpc.gen.wire.ttypes import GatewayRecord, TransferRequest, WatchRequest
-from traystall.tables.gateways import GATEWAY_LIFETIME
+from traystall.tables.gateways import GATEWAY_TIMEOUT_SECONDS
 
 # One chunk takes so long, in seconds: a narrow link beside traffic.
 CHUNK_SECONDS = 0.5
@@ -64,4 +64,4 @@
         return ended - began, max(gaps)
 
     seconds, silent = asyncio.run(play())
-    assert silent < GATEWAY_LIFETIME, f"silent for {silent:.1f} of {seconds:.1f} s"
+    assert silent < GATEWAY_TIMEOUT_SECONDS, f"silent for {silent:.1f} of {seconds:.1f} s"
--- a/tests/passthrough/test_admission.py
+++ b/tests/passthrough/test_admission.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from traystall.passthrough.admission.book import AdmissionBook, Arrival
+from traystall.passthrough.admission.controller import AdmissionController, AdmissionRequest
 from traystall.passthrough.admission.forecast import PoolLoad
 from traystall.passthrough.admission.waiting import WaitForecast
 from traystall.routes.models import Route, Split, StagePlan
@@ -16,7 +16,7 @@
 
 
 def arrival(name, slack=0.5, priority=1, counts=(1, 8), mark=None):
-    return Arrival(name, ROUTE, counts, priority, slack, 6.0, mark or name)
+    return AdmissionRequest(name, ROUTE, counts, priority, slack, 6.0, mark or name)
 
 
 def nothing(pool, priority, due):
@@ -30,25 +30,27 @@
 
 
 def test_idle_system_lets_everything_in():
-    assert admit(AdmissionBook(), arrival("a"), nothing, RATES, 0.0).admitted
+    assert admit(AdmissionController(), arrival("a"), nothing, RATES, 0.0).admitted
 
 
 def test_what_others_have_begun_counts():
-    book = AdmissionBook()
+    book = AdmissionController()
     admitted = [admit(book, arrival(str(i)), nothing, RATES, 0.0).admitted for i in range(20)]
     assert admitted[0] and not admitted[-1]
-    assert book.to_come("q", 1) == 8 * sum(admitted)
-    assert book.to_come("q", 0) == 0, "less urgent work does not count for urgent work"
+    assert book.expected_pieces("q", 1) == 8 * sum(admitted)
+    assert book.expected_pieces("q", 0) == 0, "less urgent work does not count for urgent work"
 
 
 def test_refusal_says_when_to_come_back():
-    verdict = admit(AdmissionBook(), arrival("a"), lambda pool, priority, due: 400, RATES, 0.0)
+    verdict = admit(
+        AdmissionController(), arrival("a"), lambda pool, priority, due: 400, RATES, 0.0
+    )
     assert not verdict.admitted
     assert 0.2 <= verdict.retry_after <= 2.0
 
 
 def test_request_that_has_begun_goes_through():
-    book = AdmissionBook()
+    book = AdmissionController()
     assert admit(book, arrival("a"), nothing, RATES, 0.0).admitted
     assert admit(book, arrival("a"), lambda pool, priority, due: 10**6, RATES, 1.0).admitted
 
@@ -57,13 +59,13 @@
     def waiting(pool, priority, due):
         return pieces if pool == "p" else 0
 
-    book = AdmissionBook()
+    book = AdmissionController()
     pieces = 20
     assert not admit(book, arrival("a", mark="m"), waiting, RATES, 0.0).admitted
-    book.refuse("m", 0.0)
+    book.record_refusal("m", 0.0)
     again = admit(book, arrival("b", mark="m"), waiting, RATES, 1.0)
     assert not again.admitted and again.came_back
-    assert book.to_come("q", 1) == 0, "it holds nothing while it waits"
+    assert book.expected_pieces("q", 1) == 0, "it holds nothing while it waits"
     pieces = 9
     assert not admit(book, arrival("b", mark="m"), waiting, RATES, 1.1).admitted
     assert admit(book, arrival("c", mark="n"), waiting, RATES, 1.1).admitted
@@ -75,27 +77,27 @@
     def waiting(pool, priority, due):
         return 6 if pool == "p" else 0
 
-    assert admit(AdmissionBook(), arrival("a", slack=-0.4), waiting, RATES, 0.0).admitted
+    assert admit(AdmissionController(), arrival("a", slack=-0.4), waiting, RATES, 0.0).admitted
 
 
 def test_finished_ended_and_lost_requests_no_longer_count():
-    book = AdmissionBook()
+    book = AdmissionController()
     for name in "abc":
         admit(book, arrival(name), nothing, RATES, 0.0)
-    book.asked("a", 0)
-    assert book.to_come("p", 1) == 2
-    book.asked("a", 1)
+    book.requested("a", 0)
+    assert book.expected_pieces("p", 1) == 2
+    book.requested("a", 1)
     book.made("a", 0, 0.5, 0.6)
     book.made("a", 1, 0.5, 1.2)
     book.ended("b")
-    assert book.to_come("q", 1) == 8
+    assert book.expected_pieces("q", 1) == 8
     admit(book, arrival("d"), nothing, RATES, 100.0)
-    assert book.to_come("q", 1) == 8, "only the newest is left"
+    assert book.expected_pieces("q", 1) == 8, "only the newest is left"
 
 
 @pytest.mark.parametrize(("factor", "sign"), [(3.0, 1), (0.2, -1)])
 def test_forecasts_follow_how_requests_fare(factor, sign):
-    book = AdmissionBook()
+    book = AdmissionController()
     for i in range(60):
         began = i * 0.1
         verdict = admit(book, arrival(str(i)), lambda pool, priority, due: 8, RATES, began)
@@ -108,7 +110,7 @@
 
 def test_what_was_learned_fades():
     """A scale that lets nobody in must not stay because nobody was let in."""
-    book = AdmissionBook()
+    book = AdmissionController()
     admit(book, arrival("a"), nothing, RATES, 0.0)
     book.scale = 2.0
     admit(book, arrival("b"), nothing, RATES, 12.0)
--- a/tests/passthrough/test_asking.py
+++ b/tests/passthrough/test_asking.py
@@ -18,7 +18,7 @@
 from traystall.passthrough.exchange.attempt import Attempt
 from traystall.registry.models import RegisteredState, TargetReport
 from traystall.rpc.gen.wire.ttypes import PlaceReply
-from traystall.tables.asked import FIRST_AFTER_REST
+from traystall.tables.availability import MAX_IN_FLIGHT_AFTER_BACKOFF
 
 PIECES = {"Traystall-Pieces": "2,1", "Traystall-Piece-Key": "pk"}
 # Upper bound for a response that waits for nothing; it normally takes far less.
@@ -44,7 +44,7 @@
 
 def start_backoff(gateway, runner, seconds):
     view = gateway.context.board.view(runner.identity)
-    view.asked.ask_rest(seconds, "r", clock.monotonic())
+    view.availability.request_backoff(seconds, "r", clock.monotonic())
     return view
 
 
@@ -63,7 +63,7 @@
 
 
 def shorter_backoff_is_requested(gateway, runner, view):
-    view.asked.ask_rest(0.1, "later", clock.monotonic())
+    view.availability.request_backoff(0.1, "later", clock.monotonic())
 
 
 def configuration_is_replaced(gateway, runner, view):
@@ -86,7 +86,7 @@
 
 
 def registry_is_unreachable(gateway, runner, view):
-    gateway.context.registry.last_heard = lambda: clock.monotonic() + 1000.0
+    gateway.context.registry.last_reply_at = lambda: clock.monotonic() + 1000.0
 
 
 EVENTS = [
@@ -107,8 +107,8 @@
     async def scenario(gateway, runners):
         view = start_backoff(gateway, runners[0], 30.0)
         if leaves:
-            view.asked.lift()
-            view.asked.leaves = True
+            view.availability.lift()
+            view.availability.leaves = True
             gateway.context.board.reindex()
         event(gateway, runners[0], view)
         for _ in range(20):
@@ -136,7 +136,7 @@
         await runners[0].start_again()
         await asyncio.sleep(0.05)
         again = report_restart(gateway, runners[0], 2000)
-        assert again.asked.may_get_work(clock.monotonic())
+        assert again.availability.may_send_work(clock.monotonic())
         assert (await gateway.call())[0] == 200
 
     run_scenario(scenario, {"plain": 1})
@@ -150,7 +150,7 @@
         runners[0].rests.append("30")
         assert (await gateway.call())[0] == 503
         again = report_restart(gateway, runners[0], 2000)
-        assert again.asked.rests(clock.monotonic() + 29)
+        assert again.availability.is_backing_off(clock.monotonic() + 29)
 
     run_scenario(scenario, {"plain": 1})
 
@@ -171,7 +171,7 @@
                 await attempt.open(float("inf"))
         await asyncio.sleep(0.05)
         assert (runners[0].arrivals, runners[0].connections) == ([], 1)
-        view.asked.lift()
+        view.availability.lift()
         assert (await gateway.call())[0] == 200
         assert runners[0].connections == 1  # The connection was kept.
 
@@ -260,7 +260,7 @@
             runners[0].rests.append("3")
             attempt.send(b"GET /x HTTP/1.1\r\n\r\n")
             await asyncio.sleep(0.1)
-        assert view.asked.rests(clock.monotonic() + 2.5)
+        assert view.availability.is_backing_off(clock.monotonic() + 2.5)
 
     run_scenario(scenario, {"plain": 1})
 
@@ -270,7 +270,7 @@
 
 
 def announces_shutdown(gateway, runner):
-    gateway.context.board.view(runner.identity).asked.leaves = True
+    gateway.context.board.view(runner.identity).availability.leaves = True
 
 
 def reports_draining(gateway, runner):
@@ -296,8 +296,8 @@
         notice(gateway, runners[0])
         link = Link()
         gateway.context.owners.owner = lambda key: Owner
-        gateway.context.placing._links.link = lambda address: link
-        gateway.context.placing._tell = lambda passed, what: None
+        gateway.context.placement_service._links.link = lambda address: link
+        gateway.context.placement_service._tell = lambda passed, what: None
         for _ in range(5):
             assert (await gateway.call("/events/x"))[0] == 200
         assert link.excluded == ["engine-0"]
@@ -332,7 +332,7 @@
         view = start_backoff(gateway, runners[0], 0.6)
         free(gateway, runners[0])
         await asyncio.sleep(0.7)
-        assert not view.asked.rests(clock.monotonic())
+        assert not view.availability.is_backing_off(clock.monotonic())
         assert runners[0].arrivals == []
 
     run_scenario(scenario, {"batches": 1}, table(result_lifetime=0.3))
@@ -414,7 +414,7 @@
         start_backoff(gateway, runners[0], 0.1)
         calls = [asyncio.create_task(gateway.call()) for _ in range(20)]
         await asyncio.sleep(0.3)
-        assert len(runners[0].arrivals) == FIRST_AFTER_REST
+        assert len(runners[0].arrivals) == MAX_IN_FLIGHT_AFTER_BACKOFF
         await asyncio.gather(*calls)
         assert (await gateway.call())[0] == 200
 
@@ -464,15 +464,15 @@
         runners[0].rests.append("0.3")
         await gateway.call(request_id="r-asked")
         await gateway.call()
-        gateway.context.asking.review(gateway.context.board.views())
+        gateway.context.notices.review(gateway.context.board.views())
         assert metrics.resting_targets.get({}) == 1
         await asyncio.sleep(0.4)
-        gateway.context.asking.review(gateway.context.board.views())
+        gateway.context.notices.review(gateway.context.board.views())
         assert metrics.resting_targets.get({}) == 0
         runners[0].leaves = True
         await gateway.call(request_id="r-left")
         await gateway.call()
-        gateway.context.asking.review(gateway.context.board.views())
+        gateway.context.notices.review(gateway.context.board.views())
         assert metrics.leaving_targets.get({}) == 1
         assert gateway.context.board.pool("plain") == []
 
@@ -495,6 +495,6 @@
         runners[0].identity = "another"
         view = gateway.context.board.view("plain-0")
         assert (await gateway.call())[0] == 503
-        assert view.is_misplaced and not view.asked.leaves
+        assert view.is_replaced and not view.availability.leaves
 
     run_scenario(scenario, {"plain": 1})
--- a/tests/passthrough/test_cells.py
+++ b/tests/passthrough/test_cells.py
@@ -13,14 +13,14 @@
 from tests.support.emulator.gateway import STAGES, EmulatedGateway, run, table
 from tests.support.emulator.runner import Runner
 from traystall.core import clock
-from traystall.passthrough.ownership.owners import batching_key, rank
+from traystall.passthrough.ownership.owners import batching_key, rank_owners
 from traystall.passthrough.stages.cells import (
-    WHOLE,
+    WHOLE_SYSTEM,
     Cells,
     balanced_cell,
     batching_cells,
     cell_of,
-    other_cell,
+    fallback_cell,
 )
 from traystall.registry.models import TargetReport
 from traystall.routes.models import StagePlan
@@ -87,17 +87,17 @@
     cells = Cells({"a": ("a", "d"), "b": ("b",), "c": ("c",)})
     assert cell_of("r", "b", cells) == "b"
     assert cell_of("r", "d", cells) == "a"
-    assert cell_of("r", "b", Cells()) == WHOLE
+    assert cell_of("r", "b", Cells()) == WHOLE_SYSTEM
     spread = Counter(cell_of(str(i), "elsewhere", cells) for i in range(300))
     assert set(spread) == set(cells.names()) and min(spread.values()) > 60
 
 
 def test_other_cell_is_inside_the_customers_places():
     cells = Cells({name: (name,) for name in "abc"})
-    assert {other_cell(str(i), "a", cells, ()) for i in range(50)} == {"b", "c"}
-    assert {other_cell(str(i), "a", cells, ("a", "c")) for i in range(50)} == {"c"}
-    assert other_cell("r", "a", cells, ("a",)) == WHOLE
-    assert other_cell("r", WHOLE, Cells(), ()) == WHOLE
+    assert {fallback_cell(str(i), "a", cells, ()) for i in range(50)} == {"b", "c"}
+    assert {fallback_cell(str(i), "a", cells, ("a", "c")) for i in range(50)} == {"c"}
+    assert fallback_cell("r", "a", cells, ("a",)) == WHOLE_SYSTEM
+    assert fallback_cell("r", WHOLE_SYSTEM, Cells(), ()) == WHOLE_SYSTEM
 
 
 def test_cell_is_gathered_inside_as_long_as_a_gateway_is_there():
@@ -105,9 +105,9 @@
     for found, place in zip(rows, "xxyyzz", strict=True):
         found.data_centre = place
     inside = {found.identity for found in rows if found.data_centre == "y"}
-    assert set(rank(rows, batching_key("y"), 100.0, ("y",))) == inside
+    assert set(rank_owners(rows, batching_key("y"), 100.0, ("y",))) == inside
     left = [found for found in rows if found.identity not in inside]
-    assert len(rank(left, batching_key("y"), 100.0, ("y",))) == 4
+    assert len(rank_owners(left, batching_key("y"), 100.0, ("y",))) == 4
 
 
 async def _play(full_cell, headers, calls=4, stages=STAGES):
--- a/tests/passthrough/test_cold.py
+++ b/tests/passthrough/test_cold.py
@@ -13,8 +13,8 @@
 from traystall.core import clock
 from traystall.passthrough.health.cold import (
     WINDOW_SECONDS,
-    ColdBook,
-    ColdRule,
+    ColdStartLimit,
+    RecentRequestCounter,
     coordinator_allowance,
     gateway_allowance,
 )
@@ -23,7 +23,7 @@
 from traystall.registry.table import Registry
 from traystall.rpc.gen.wire.ttypes import PlaceRequest
 
-RULES = st.builds(ColdRule, excess=st.floats(1.0, 3.0), slack=st.floats(0.0, 20.0))
+RULES = st.builds(ColdStartLimit, excess=st.floats(1.0, 3.0), slack=st.floats(0.0, 20.0))
 
 
 def gateways(count):
@@ -41,7 +41,7 @@
 
 
 @given(RULES, st.floats(3.0, 200.0), st.integers(1, 120))
-@example(ColdRule(), 199.99999999999997, 1)
+@example(ColdStartLimit(), 199.99999999999997, 1)
 def test_two_coordinators_and_all_gateways_stay_within_the_bound(rule, per_second, count):
     names = gateways(count)
     alone = sum(
@@ -52,17 +52,17 @@
 
 
 def test_coordinator_allowance_is_most_of_the_rate_of_a_cold_target():
-    assert coordinator_allowance(ColdRule(1.5, 5.0), 9.1) == 7
-    assert coordinator_allowance(ColdRule(3.0, 5.0), 9.1) == 9
+    assert coordinator_allowance(ColdStartLimit(1.5, 5.0), 9.1) == 7
+    assert coordinator_allowance(ColdStartLimit(3.0, 5.0), 9.1) == 9
 
 
 def test_gateway_missing_from_the_directory_counts_itself():
-    assert gateway_allowance(ColdRule(), 10.0, "t", "new", [], divides_all=True) == 9
-    assert gateway_allowance(ColdRule(), 10.0, "t", "new", gateways(8), divides_all=True) == 1
+    assert gateway_allowance(ColdStartLimit(), 10.0, "t", "new", [], divides_all=True) == 9
+    assert gateway_allowance(ColdStartLimit(), 10.0, "t", "new", gateways(8), divides_all=True) == 1
 
 
 def test_counter_covers_a_window():
-    book = ColdBook()
+    book = RecentRequestCounter()
     for at in (0.0, 0.5, 1.0):
         book.record("t", at)
     assert book.count("t", 1.0) == 3
@@ -98,7 +98,7 @@
 def test_end_of_a_cold_start_is_the_same_at_a_later_recipient():
     registry, other = Registry(), Registry()
     registry.merge(report(1, 3.0), 10.0)
-    registry.saw("t", 11.5)
+    registry.record_seen("t", 11.5)
     record = to_record(registry.get("t"), now=12.0)
     other.merge(to_report(record), seen_at=12.0 - record.age)
     assert other.get("t").cold_until == pytest.approx(13.0)
@@ -115,7 +115,7 @@
 
 def place(gateway, number):
     request = PlaceRequest(pool="engine", request_id=f"r{number}", tokens=100, book=True)
-    return gateway.context.placing.place_here(request).identity
+    return gateway.context.placement_service.place_for_peer(request).identity
 
 
 def test_placer_limits_a_cold_engine_and_uses_warm_ones_for_the_remainder():
@@ -125,7 +125,7 @@
             cold = TargetReport("e-0", "engine", engines[0].address, "here", sequence=2, warming=3)
             gateway.context.board.merge(cold, clock.monotonic())
             placed = [place(gateway, number) for number in range(30)]
-            allowed = coordinator_allowance(ColdRule(), 4.0)
+            allowed = coordinator_allowance(ColdStartLimit(), 4.0)
             assert placed.count("e-0") <= allowed
             assert placed.count("e-1") == 30 - placed.count("e-0")
 
@@ -139,7 +139,7 @@
             cold = TargetReport("e-0", "engine", engines[0].address, "here", sequence=2, warming=3)
             gateway.context.board.merge(cold, clock.monotonic())
             view = gateway.context.board.view("e-0")
-            assert gateway.context.cold.may_send(view, for_all=True)
+            assert gateway.context.cold.may_send(view, as_coordinator=True)
             assert not gateway.context.cold.may_send(view)
 
     run(scenario())
@@ -155,7 +155,9 @@
             gateway.context.board.merge(cold, clock.monotonic())
             for _ in range(20):
                 assert (await gateway.call())[0] == 200
-            allowed = gateway_allowance(ColdRule(), 6.0, "p-0", "gateway-1", [], divides_all=True)
+            allowed = gateway_allowance(
+                ColdStartLimit(), 6.0, "p-0", "gateway-1", [], divides_all=True
+            )
             assert 0 < len(targets[0].runs) <= allowed
 
     run(scenario())
--- a/tests/passthrough/test_crowding.py
+++ b/tests/passthrough/test_crowding.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from traystall.passthrough.admission.book import AdmissionBook, Arrival
+from traystall.passthrough.admission.controller import AdmissionController, AdmissionRequest
 from traystall.passthrough.admission.forecast import PoolLoad
 from traystall.routes.models import Route, Split, StagePlan
 
@@ -15,7 +15,7 @@
 
 def arrival(name, route, customer="c"):
     slack = SLACKS[route.name]
-    return Arrival(name, route, (1, 1), 1, slack, 6.0, name, customer=customer)
+    return AdmissionRequest(name, route, (1, 1), 1, slack, 6.0, name, customer=customer)
 
 
 def loads(due_at, pieces, rate=100.0):
@@ -32,13 +32,13 @@
 
 
 def test_what_may_wait_longer_goes_after_an_impatient_request():
-    book = AdmissionBook()
+    book = AdmissionController()
     assert ask(book, "a", QUICK, 10.0, pieces=150, due_at=12.0).admitted
     assert not ask(book, "b", QUICK, 10.0, pieces=150, due_at=10.1).admitted
 
 
 def test_long_queue_of_patient_work_is_no_crowd_where_only_patient_kinds_ask():
-    book = AdmissionBook()
+    book = AdmissionController()
     verdicts = [
         ask(book, f"r{n}", PATIENT, 10.0 + n * 0.02, pieces=60, due_at=11.0) for n in range(50)
     ]
@@ -46,7 +46,7 @@
 
 
 def test_the_same_queue_is_a_crowd_while_an_impatient_kind_asks():
-    book = AdmissionBook()
+    book = AdmissionController()
     verdicts = []
     for n in range(200):
         now = 10.0 + n * 0.01
@@ -58,22 +58,22 @@
 
 
 def test_a_customer_that_does_not_get_in_by_waiting_is_told_so():
-    verdict = ask(AdmissionBook(), "a", QUICK, 10.0, pieces=500, due_at=10.0)
+    verdict = ask(AdmissionController(), "a", QUICK, 10.0, pieces=500, due_at=10.0)
     assert not verdict.admitted
-    assert verdict.seconds_to_turn > 1.0
+    assert verdict.seconds_to_admission > 1.0
     assert verdict.retry_after > 0.0
 
 
 @pytest.mark.parametrize("later", [0.0, 2.5, 60.0])
 def test_who_asks_again_much_later_is_still_answered(later):
     """The newest look at a pool's kinds may be older than what is remembered of them."""
-    book = AdmissionBook()
+    book = AdmissionController()
     ask(book, "a", QUICK, 10.0, pieces=500, due_at=10.0)
     assert not ask(book, "a", QUICK, 10.0 + later, pieces=500, due_at=10.0).admitted
 
 
 def test_without_shared_pools_nothing_of_it_is_counted():
-    book = AdmissionBook()
+    book = AdmissionController()
     book.admit(arrival("a", QUICK), loads(0.0, 0), 10.0)
-    assert book.demand.rows() == 0
+    assert book.demand.customer_count() == 0
     assert book.waits(10.0) == {}
--- a/tests/passthrough/test_customers_places.py
+++ b/tests/passthrough/test_customers_places.py
@@ -6,9 +6,9 @@
 from tests.support.emulator.gateway import KEY, STAGES, EmulatedGateway, run, table
 from tests.support.emulator.runner import Runner
 from traystall.core import clock
-from traystall.passthrough.stages.batching import FreeTarget, PieceJob, take_batch
+from traystall.passthrough.stages.batching import FreeTarget, PieceJob, select_batch
 from traystall.registry.models import TargetReport
-from traystall.routes.matching import places_of
+from traystall.routes.matching import allowed_data_centres
 from traystall.routes.models import BatchProfile, KeyedCustomer, Route
 
 
@@ -76,8 +76,8 @@
 def test_overdue_pieces_stay_in_the_customers_data_centres():
     job = PieceJob("a", "a", 0, 0, "k", (), 0, -9.0, 9.0, 0, "here", 0, ("here",))
     profile = BatchProfile(batch=1, room_bytes=10)
-    assert take_batch([job, job, job], profile, 10, 0.0, FreeTarget("elsewhere")) == []
-    assert take_batch([job], profile, 10, 0.0, FreeTarget("here")) == [job]
+    assert select_batch([job, job, job], profile, 10, 0.0, FreeTarget("elsewhere")) == []
+    assert select_batch([job], profile, 10, 0.0, FreeTarget("here")) == [job]
 
 
 def test_data_centres_of_route_and_customer_both_apply():
@@ -87,13 +87,13 @@
     def customer(*places):
         return KeyedCustomer("ana", (), None, places)
 
-    assert places_of(route(), None) == ()
-    assert places_of(route(), customer()) == ()
-    assert places_of(route("a", "b"), None) == ("a", "b")
-    assert places_of(route("a", "b"), customer()) == ("a", "b")
-    assert places_of(route(), customer("b")) == ("b",)
-    assert places_of(route("a", "b"), customer("b", "c")) == ("b",)
-    assert places_of(route("a"), customer("c")) is None
+    assert allowed_data_centres(route(), None) == ()
+    assert allowed_data_centres(route(), customer()) == ()
+    assert allowed_data_centres(route("a", "b"), None) == ("a", "b")
+    assert allowed_data_centres(route("a", "b"), customer()) == ("a", "b")
+    assert allowed_data_centres(route(), customer("b")) == ("b",)
+    assert allowed_data_centres(route("a", "b"), customer("b", "c")) == ("b",)
+    assert allowed_data_centres(route("a"), customer("c")) is None
 
 
 async def _send_to_two_data_centres(route_places, customer_places):
--- a/tests/passthrough/test_decisions.py
+++ b/tests/passthrough/test_decisions.py
@@ -6,9 +6,9 @@
 import msgspec
 import pytest
 
-from traystall.passthrough.admission.budget import BudgetRule, RepeatBudget
+from traystall.passthrough.admission.budget import RepeatBudget, RepeatBudgetRule
 from traystall.passthrough.health.board import TargetBoard
-from traystall.passthrough.health.places import DataCentreWatch
+from traystall.passthrough.health.data_centre_monitor import DataCentreMonitor
 from traystall.passthrough.placement.choice import Prompt, choose_target, parse_prompt
 from traystall.passthrough.placement.engines import (
     EngineChoice,
@@ -16,13 +16,13 @@
     Placement,
     PromptPart,
 )
-from traystall.passthrough.stages.room import RoomBook
+from traystall.passthrough.stages.room import ResultMemory
 from traystall.passthrough.stages.workers import SLOW_RATIO, Worker
 from traystall.registry.models import RegisteredState, TargetReport
 from traystall.routes.models import BatchProfile
 from traystall.systems.rendezvous import rendezvous_order
 
-RULE = BudgetRule(ratio=0.2, window=10.0, slack=58.0)
+RULE = RepeatBudgetRule(ratio=0.2, window=10.0, slack=58.0)
 
 
 @pytest.mark.parametrize("gateways", [1, 3, 9, 85])
@@ -36,7 +36,7 @@
             if rate and step % max(1, 100 // rate) == 0:
                 budget.on_request(now)
                 requests.append(now)
-            if budget.take(now, gateways):
+            if budget.try_consume(now, gateways):
                 repeats.append(now)
     for start in range(21):
         in_window = sum(start <= at < start + RULE.window for at in repeats)
@@ -61,7 +61,7 @@
 
 
 def board(count=4, pool="p"):
-    made = TargetBoard(random.Random(1), lambda pool: 10, DataCentreWatch("here"))
+    made = TargetBoard(random.Random(1), lambda pool: 10, DataCentreMonitor("here"))
     for i in range(count):
         made.merge(TargetReport(f"t{i}", pool, f"10.0.0.{i}:80", "here", slots=4), 0.0)
     return made
@@ -93,18 +93,18 @@
     first = TargetReport("t0", "p", "10.0.0.0:80", "here", slots=4, sequence=9, started=1000)
     made.merge(first, 1.0)
     view = made.view("t0")
-    view.mean_seconds, view.failures, view.is_misplaced = 9.0, 3, True
+    view.mean_seconds, view.failures, view.is_replaced = 9.0, 3, True
     view.avoid_until = 100.0
     made.merge(msgspec.structs.replace(first, sequence=10), 2.0)
     assert made.view("t0") is view
     made.merge(msgspec.structs.replace(first, sequence=1, started=2000), 3.0)
     again = made.view("t0")
     assert again is not view and again.connections is not view.connections
-    assert (again.mean_seconds, again.failures, again.is_misplaced) == (0.0, 0, False)
-    assert made.sign_of_end(view) == "another life answers at its address"
-    view.is_misplaced = False
-    assert made.sign_of_end(view) == "it has started again"
-    assert made.sign_of_end(again) == ""
+    assert (again.mean_seconds, again.failures, again.is_replaced) == (0.0, 0, False)
+    assert made.end_evidence(view) == "another life answers at its address"
+    view.is_replaced = False
+    assert made.end_evidence(view) == "it has started again"
+    assert made.end_evidence(again) == ""
 
 
 def two_places():
@@ -211,7 +211,7 @@
     assert worker.wait(1, 0.1) > 0.19 and worker.wait(2, 0.1) == 0.0
     worker.ended(0)
     assert worker.is_worth_calling(PIECES, 100, 2, 0.1)
-    worker.learn(4 * PIECES.seconds(4), PIECES.seconds(4))
+    worker.update_ratio(4 * PIECES.seconds(4), PIECES.seconds(4))
     assert worker.ratio > SLOW_RATIO
     assert not worker.is_worth_calling(PIECES, 4, 2, 0.1)
     assert worker.is_worth_calling(PIECES, 100, 2, 0.1), "the queue is long"
@@ -220,7 +220,7 @@
 
 
 def test_room_is_counted_until_it_is_given_up():
-    book = RoomBook()
+    book = ResultMemory()
     book.reserve(30)
     book.unreserve(30)
     book.hold("a", 10, 0.0, 4.0)
@@ -233,7 +233,7 @@
 
 
 def test_room_bounds_the_rate_by_how_long_results_are_held():
-    book = RoomBook()
+    book = ResultMemory()
     assert book.rate(100, 0.3, 0.0) == float("inf")
     for i in range(300):
         book.hold(str(i), 10, float(i), 4.0)
@@ -242,34 +242,34 @@
 
 
 def test_what_others_hold_takes_room_until_it_must_be_over():
-    book = RoomBook()
+    book = ResultMemory()
     book.hold("own", 10, 0.0, 4.0)
-    assert book.note_free(60, 100, 1.0, 4.0) == 30
+    assert book.record_free_bytes(60, 100, 1.0, 4.0) == 30
     assert book.taken(1.0) == 40
-    assert book.note_free(85, 100, 1.5, 4.0) == 5, "the newest word counts"
+    assert book.record_free_bytes(85, 100, 1.5, 4.0) == 5, "the newest word counts"
     assert book.taken(1.5) == 15
     assert book.foreign(5.6) == 0
-    assert book.note_free(95, 100, 2.0, 4.0) == 0, "the worker has not counted a call yet"
+    assert book.record_free_bytes(95, 100, 2.0, 4.0) == 0, "the worker has not counted a call yet"
 
 
 def test_room_that_others_hold_bounds_the_rate():
-    book = RoomBook()
+    book = ResultMemory()
     for i in range(300):
         book.hold(str(i), 10, float(i), 4.0)
         book.free(str(i), i + 0.7)
     whole = book.rate(100, 0.3, 300.0)
-    book.note_free(50, 100, 300.0, 4.0)
+    book.record_free_bytes(50, 100, 300.0, 4.0)
     assert book.rate(100, 0.3, 300.0) == pytest.approx(whole / 2, rel=0.01)
     assert book.rate(100, 0.3, 305.0) == whole
 
 
 def test_room_shrinks_when_the_worker_refuses():
-    book = RoomBook()
+    book = ResultMemory()
     for _ in range(50):
         book.on_refused()
     assert book.share == 0.5
     for _ in range(500):
-        book.on_taken()
+        book.on_accepted()
     assert book.share == 1.0
 
 
@@ -296,5 +296,5 @@
     assert made.usable("p", 1.0, 0.0) == [good]
     good.avoid_until = 5.0
     assert made.usable("p", 1.0, 0.0) == [good, bad]
-    made.saw("t1", 100.0)
+    made.record_seen("t1", 100.0)
     assert made.usable("p", 100.0, 100.0) == [bad]
--- a/tests/passthrough/test_evacuation.py
+++ b/tests/passthrough/test_evacuation.py
@@ -62,7 +62,7 @@
             other = board.view("plain-there")
             other.avoid_until = clock.monotonic() + 60
             assert [v.identity for v in gateway.context.usable("plain")] == ["plain-there"]
-            other.is_misplaced = True
+            other.is_replaced = True
             assert gateway.context.usable("plain") == []
             await runners["plain", "there"].stop()
             assert (await gateway.call())[0] == 503
@@ -245,14 +245,14 @@
     async def scenario():
         async with two_data_centres(("engine",), events=2) as (gateway, runners):
             gateway.evacuate("here")
-            placing = gateway.context.placing
+            placement_service = gateway.context.placement_service
 
             class StaleLink:
                 async def call(self, request, timeout):
                     return PlaceReply(identity="engine-here")
 
-            placing._links.link = lambda address: StaleLink()
+            placement_service._links.link = lambda address: StaleLink()
             owner = type("Row", (), {"identity": "g", "rpc_address": "a"})()
-            assert await placing._ask(owner, type("R", (), {"request_id": "r"})()) is None
+            assert await placement_service._ask(owner, type("R", (), {"request_id": "r"})()) is None
 
     run(scenario())
--- a/tests/passthrough/test_exchange_faults.py
+++ b/tests/passthrough/test_exchange_faults.py
@@ -186,11 +186,11 @@
 
 
 def test_retry_budget_bounds_the_retries():
-    from traystall.passthrough.admission.budget import BudgetRule
+    from traystall.passthrough.admission.budget import RepeatBudgetRule
 
     async def scenario():
         runners = [await Runner(f"r-{i}", faults=["failed"] * 100).start() for i in range(2)]
-        rule = BudgetRule(ratio=0.2, slack=0)
+        rule = RepeatBudgetRule(ratio=0.2, slack=0)
         try:
             pools = [("plain", runner) for runner in runners]
             async with EmulatedGateway(table(), pools, budget=rule) as gateway:
--- a/tests/passthrough/test_forecast.py
+++ b/tests/passthrough/test_forecast.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from tests.support.stage_burst import Burst, chain, hive_kinds, hive_pools
-from traystall.passthrough.admission.book import AdmissionBook, Arrival
+from traystall.passthrough.admission.controller import AdmissionController, AdmissionRequest
 from traystall.passthrough.admission.forecast import PoolLoad, stage_times
 from traystall.passthrough.admission.timeline import SPAN_SECONDS, DemandTimeline
 from traystall.routes.models import StagePlan
@@ -92,9 +92,9 @@
     times = stage_times(
         stages, (1, 0, 4, 2), lambda pool: 0.2, lambda pool, at: waits[pool], now=10.0
     )
-    asked = [round(at, 6) for at, _ in times]
+    requested = [round(at, 6) for at, _ in times]
     ends = [round(end, 6) for _, end in times]
-    assert asked == [10.0, 10.0, 10.3, 11.0]
+    assert requested == [10.0, 10.0, 10.3, 11.0]
     assert ends == [10.3, 10.0, 11.0, 11.2]
 
 
@@ -108,12 +108,12 @@
 
 @given(REQUESTS, st.integers(0, 300), st.floats(0.0, 200.0))
 def test_nobody_is_let_in_to_be_late_or_asked_back_too_late(requests, waiting, rate):
-    book = AdmissionBook()
+    book = AdmissionController()
     loads = {pool: PoolLoad(lambda priority, due: waiting, rate, 0.2) for pool in ("p", "q")}
     now = 0.0
     for number, (pause, slack, priority, left) in enumerate(requests):
         now += pause
-        arrival = Arrival(f"r{number}", ROUTE, (1, 8), priority, slack, left, f"m{number}")
+        arrival = AdmissionRequest(f"r{number}", ROUTE, (1, 8), priority, slack, left, f"m{number}")
         verdict = book.admit(arrival, loads, now)
         if verdict.admitted:
             assert verdict.wait <= max(0.25, slack)
@@ -127,5 +127,7 @@
         pool: PoolLoad(lambda priority, due: 5, rate, 0.2)
         for pool, rate in zip(("p", "q"), rates, strict=True)
     }
-    verdict = AdmissionBook().admit(Arrival("r", ROUTE, (1, 8), 1, 5.0, 6.0, "m"), loads, 0.0)
+    verdict = AdmissionController().admit(
+        AdmissionRequest("r", ROUTE, (1, 8), 1, 5.0, 6.0, "m"), loads, 0.0
+    )
     assert not verdict.admitted
--- a/tests/passthrough/test_handover.py
+++ b/tests/passthrough/test_handover.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from traystall.passthrough.admission.book import AdmissionBook, Arrival
+from traystall.passthrough.admission.controller import AdmissionController, AdmissionRequest
 from traystall.passthrough.admission.forecast import PoolLoad
 from traystall.passthrough.admission.handover import Handover
 from traystall.routes.models import Route, Split, StagePlan
@@ -58,23 +58,23 @@
 def test_a_pool_that_lost_all_targets_is_told_and_taken_over():
     """Its wait has no end; it once ended the requests of the next batcher with an error."""
     nowhere = {pool: PoolLoad(lambda priority, due: 3, 0.0, 0.2) for pool in "pq"}
-    before, after = AdmissionBook(), AdmissionBook()
+    before, after = AdmissionController(), AdmissionController()
     assert not before.admit(arrival("a"), nowhere, 10.0, SHARED).admitted
-    after.take_over(before.waits(10.1), 0.1, 10.2)
+    after.merge_peer_waits(before.waits(10.1), 0.1, 10.2)
     assert after.admit(arrival("b"), loads(), 10.3, SHARED).admitted
 
 
 def arrival(name, made=frozenset()):
-    return Arrival(name, ROUTE, (1, 8), 1, 0.3, 6.0, name, made=made)
+    return AdmissionRequest(name, ROUTE, (1, 8), 1, 0.3, 6.0, name, made=made)
 
 
 def test_what_has_begun_elsewhere_goes_on_and_what_has_not_waits_its_turn():
-    book = AdmissionBook()
-    book.take_over({"q": 5.0}, 0.1, 10.0)
+    book = AdmissionController()
+    book.merge_peer_waits({"q": 5.0}, 0.1, 10.0)
     assert not book.admit(arrival("new"), loads(), 10.1, SHARED).admitted
     begun = arrival("begun", made=frozenset({0}))
     assert book.admit(begun, loads(), 10.1, SHARED).admitted
-    assert book.to_come("p", 1) == 0
-    assert book.to_come("q", 1) == 8
+    assert book.expected_pieces("p", 1) == 0
+    assert book.expected_pieces("q", 1) == 8
     book.made("begun", 1, 0.4, 10.5)
-    assert book.to_come("q", 1) == 0
+    assert book.expected_pieces("q", 1) == 0
--- a/tests/passthrough/test_limited_targets.py
+++ b/tests/passthrough/test_limited_targets.py
@@ -220,7 +220,7 @@
                 await asyncio.sleep(0.05)
                 opening.cancel()
                 await asyncio.gather(opening, return_exceptions=True)
-            assert gateway.context.permits.lent(view.report.life) == 1
+            assert gateway.context.permits.granted_count(view.report.life) == 1
         await limited.stop()
 
     run(scenario())
@@ -266,7 +266,7 @@
     names = gateway.names
     headers = [(names.request_id.encode(), answered.encode())] if answered else []
     headers += [(names.limit.encode(), limit.encode())] if limit else []
-    gateway.context.asking.heard(view, connection, ResponseHead(status, headers))
+    gateway.context.notices.on_response_head(view, connection, ResponseHead(status, headers))
     return view.limit.per_second
 
 
--- a/tests/passthrough/test_owners.py
+++ b/tests/passthrough/test_owners.py
@@ -9,8 +9,8 @@
 from tests.support.emulator.runner import Runner
 from traystall.core import clock
 from traystall.core.exceptions import RpcRefused, RpcTimeout
-from traystall.passthrough.health.places import DataCentreWatch
-from traystall.passthrough.ownership.owners import LEAVING, Owners, rank
+from traystall.passthrough.health.data_centre_monitor import DataCentreMonitor
+from traystall.passthrough.ownership.owners import LEAVING, OwnerSelector, rank_owners
 from traystall.rpc.gen.wire import ttypes
 from traystall.rpc.server import RpcServer
 from traystall.tables.gateways import GatewayRow
@@ -26,7 +26,7 @@
     def __init__(self, identity, directory):
         self.identity = identity
         self.follower = self
-        self.places = DataCentreWatch("elsewhere")
+        self.places = DataCentreMonitor("elsewhere")
         self.directory = directory
 
 
@@ -47,7 +47,7 @@
 def make(names="abcde"):
     directory = [row(name) for name in names]
     contexts = [Context(r.identity, list(directory)) for r in directory]
-    return directory, [(Owners(context), context) for context in contexts]
+    return directory, [(OwnerSelector(context), context) for context in contexts]
 
 
 def test_all_agree(now):
@@ -57,7 +57,7 @@
 
 def test_restarted_gateway_does_not_take_over_at_once(now):
     directory, all_owners = make()
-    first = rank(directory, "k", now.time)[0]
+    first = rank_owners(directory, "k", now.time)[0]
     name = first.split("/")[0]
     again = row(name, started_at=now.time, life=2)
     for owners, context in all_owners:
@@ -85,7 +85,7 @@
 )
 def test_gateway_that_does_not_serve_is_left_out_for_a_while(now, error, seconds):
     directory, all_owners = make()
-    first = rank(directory, "k", now.time)[0]
+    first = rank_owners(directory, "k", now.time)[0]
     owners, context = next(pair for pair in all_owners if pair[1].identity != first)
     owners.on_error(first, error)
     assert owner_of(owners, context) != first
@@ -96,19 +96,19 @@
 def test_all_new_gateways_choose_among_themselves(now):
     directory = [row(name, started_at=now.time) for name in "abc"]
     context = Context("a/1", directory)
-    assert owner_of(Owners(context), context) in {"a/1", "b/1", "c/1"}
+    assert owner_of(OwnerSelector(context), context) in {"a/1", "b/1", "c/1"}
 
 
 def test_silent_gateways_put_their_data_centre_out(now):
     directory, all_owners = make()
     owners, context = all_owners[0]
-    context.places = DataCentreWatch("here too")
-    order = rank(directory, "k", now.time)
+    context.places = DataCentreMonitor("here too")
+    order = rank_owners(directory, "k", now.time)
     for identity in order[:2]:
         owner_of(owners, context)
         owners.on_error(identity, RpcTimeout("silent"))
     assert owner_of(owners, context) == context.identity
-    context.places.on_heard("here")
+    context.places.on_response("here")
     assert owner_of(owners, context) in order[2:]
 
 
@@ -242,7 +242,7 @@
         *(sized(f"large{n}", 1.25) for n in range(4)),
         *(sized(f"s{n}", 0.375) for n in "abcdef"),
     ]
-    owners = [rank(rows, key, now.time)[0] for key in KEYS]
+    owners = [rank_owners(rows, key, now.time)[0] for key in KEYS]
     assert {owner.rstrip("0123456789/") for owner in owners} == {"large"}
     assert len(set(owners)) == 4, "they share it"
 
@@ -250,33 +250,35 @@
 def test_small_ones_follow_when_the_large_ones_are_gone(now):
     rows = [sized("large", 1.25), *(sized(f"s{n}", 0.375) for n in "abc")]
     for key in KEYS:
-        order = rank(rows, key, now.time)
-        assert order[1:] == rank(rows[1:], key, now.time)
+        order = rank_owners(rows, key, now.time)
+        assert order[1:] == rank_owners(rows[1:], key, now.time)
 
 
 def test_a_gateway_of_an_earlier_release_counts_as_the_smallest(now):
     rows = [sized("old", 0.0), sized("new", 0.375)]
-    assert {rank(rows, key, now.time)[0] for key in KEYS} == {"new/1"}
+    assert {rank_owners(rows, key, now.time)[0] for key in KEYS} == {"new/1"}
 
 
 @pytest.mark.parametrize("sizes", [(0.0, 0.0, 0.0), (0.5, 0.5, 0.5), (0.5, 0.45, 0.4)])
 def test_gateways_about_alike_own_as_if_none_had_said(sizes, now):
     rows = [sized(name, size) for name, size in zip("abc", sizes, strict=True)]
     plain = [row(name) for name in "abc"]
-    assert all(rank(rows, key, now.time) == rank(plain, key, now.time) for key in KEYS)
+    assert all(
+        rank_owners(rows, key, now.time) == rank_owners(plain, key, now.time) for key in KEYS
+    )
 
 
 def test_place_goes_before_size(now):
     rows = [sized("far", 9.0, "there"), sized("near", 0.1)]
-    assert rank(rows, "k", now.time, ("here",)) == ["near/1"]
+    assert rank_owners(rows, "k", now.time, ("here",)) == ["near/1"]
 
 
 def test_restarts_in_turn_move_little(now):
     """At 72 gateways of three sizes a restart moves only what the restarted one owned."""
     rows = [sized(f"g{n}", (0.375, 0.75, 1.25)[n % 3]) for n in range(72)]
-    before = {key: rank(rows, key, now.time)[0] for key in KEYS}
+    before = {key: rank_owners(rows, key, now.time)[0] for key in KEYS}
     for gone in rows:
         left = [other for other in rows if other is not gone]
-        after = {key: rank(left, key, now.time)[0] for key in KEYS}
+        after = {key: rank_owners(left, key, now.time)[0] for key in KEYS}
         moved = {key for key in KEYS if after[key] != before[key]}
         assert all(before[key] == gone.identity for key in moved)
--- a/tests/passthrough/test_pace.py
+++ b/tests/passthrough/test_pace.py
@@ -3,20 +3,20 @@
 import pytest
 
 from tests.support.crowd import Crowd, alike_in_patience, patient_and_impatient
-from traystall.passthrough.stages.pace import begins_at
+from traystall.passthrough.stages.pace import next_call_time
 
 
 def test_calls_keep_a_distance_that_targets_can_keep_up_with():
-    begin = begins_at(10.0, 0.4, targets=4, waiting=3, batch=20)
+    begin = next_call_time(10.0, 0.4, targets=4, waiting=3, batch=20)
     assert 10.0 < begin < 10.0 + 0.4 / 4
 
 
 def test_a_full_call_waits_for_nothing():
-    assert begins_at(10.0, 0.4, targets=4, waiting=20, batch=20) <= 10.0
+    assert next_call_time(10.0, 0.4, targets=4, waiting=20, batch=20) <= 10.0
 
 
 def test_a_lone_target_is_called_as_soon_as_it_is_free():
-    assert begins_at(10.0, 0.4, targets=1, waiting=1, batch=20) <= 10.0
+    assert next_call_time(10.0, 0.4, targets=1, waiting=1, batch=20) <= 10.0
 
 
 @pytest.mark.parametrize("seed", [1, 2])
--- a/tests/passthrough/test_shared_pools.py
+++ b/tests/passthrough/test_shared_pools.py
@@ -52,7 +52,7 @@
         statuses = await rush(site, (0, 1, 2), 36)
         assert set(statuses) <= {200, 503}
         assert 200 in statuses
-        told = [context.batcher.waits_told() for context in contexts(site)]
+        told = [context.batcher.latest_queue_waits() for context in contexts(site)]
         assert sum(bool(waits) for waits in told) >= 2, "who doesn't batch was told"
         assert ("batches",) in [tuple(waits) for found in told for waits in found.values()]
         assert metrics.shared_part.get({"route": "staged"}) > 0.0
@@ -65,7 +65,7 @@
         await start(site, entities())
         assert not any(context.shared_pools() for context in contexts(site))
         assert set(await rush(site, (0, 1), 12)) == {200}
-        assert not any(context.batcher.waits_told() for context in contexts(site))
+        assert not any(context.batcher.latest_queue_waits() for context in contexts(site))
 
     play(tmp_path, story)
 
--- a/tests/passthrough/test_streams.py
+++ b/tests/passthrough/test_streams.py
@@ -11,7 +11,7 @@
 from tests.support.emulator.gateway import STAGES, EmulatedGateway, run, table
 from tests.support.emulator.runner import Runner
 from traystall.passthrough.entry.events import EventSplitter, event_id, follows, is_next
-from traystall.passthrough.stages.cells import WHOLE
+from traystall.passthrough.stages.cells import WHOLE_SYSTEM
 
 
 def whole(count):
@@ -227,13 +227,13 @@
             async with EmulatedGateway(routing, [("batches", worker)]) as gateway:
                 headers = {"Traystall-Pieces": "1,1", "Traystall-Piece-Key": "pk"}
                 status, _, _ = await gateway.call("/staged/x", **headers)
-                return status, gateway.context.batcher._book(WHOLE)
+                return status, gateway.context.batcher._book(WHOLE_SYSTEM)
         finally:
             await worker.stop()
 
     status, book = run(scenario())
     assert status == 503
-    assert book.to_come("batches", 9) == 0
+    assert book.expected_pieces("batches", 9) == 0
 
 
 def test_temporarily_full_workers_are_retried():
--- a/tests/permits/test_news.py
+++ b/tests/permits/test_news.py
@@ -3,8 +3,8 @@
 import asyncio
 
 from tests.support.lending import LIFE, PLACE, LendingSite, clock_of
-from traystall.permits.news import LimitTeller
-from traystall.systems.target_limits import ANY_NUMBER, LimitWord
+from traystall.permits.broadcast import LimitBroadcaster
+from traystall.systems.target_limits import UNLIMITED, AnnouncedLimit
 
 
 class Told:
@@ -13,7 +13,7 @@
     def __init__(self, monkeypatch, count):
         self.site = LendingSite(clock_of(monkeypatch), count, None)
         self.tellers = [
-            LimitTeller(
+            LimitBroadcaster(
                 permits, permits.links, lambda: self.site.rows, lambda life: PLACE, lambda: {LIFE}
             )
             for permits in self.site.gateways.values()
@@ -38,12 +38,12 @@
 def test_all_know_a_limit_and_its_end_within_three_turns(monkeypatch):
     async def story():
         told = Told(monkeypatch, 24)
-        told.stranger().hear(LIFE, LimitWord(2.0), told.site.now, "r")
+        told.stranger().observe_answer(LIFE, AnnouncedLimit(2.0), told.site.now, "r")
         for _ in range(3):
             await told.turn()
         assert told.known() == {2.0}
         told.site.now += 2.0
-        told.stranger().hear(LIFE, ANY_NUMBER, told.site.now, "r")
+        told.stranger().observe_answer(LIFE, UNLIMITED, told.site.now, "r")
         for _ in range(3):
             await told.turn()
         assert told.known() == {None}
@@ -56,13 +56,15 @@
         told = Told(monkeypatch, 9)
         await told.turn()
         assert told.site.messages == 0
-        told.stranger().hear(LIFE, LimitWord(2.0), told.site.now, "r")
+        told.stranger().observe_answer(LIFE, AnnouncedLimit(2.0), told.site.now, "r")
         for _ in range(3):
             await told.turn()
         sent = told.site.messages
         for step in range(10):
             # A little more or less reaches those who ask for permits.
-            told.stranger().hear(LIFE, LimitWord(2.0 + step / 10), told.site.now, "r")
+            told.stranger().observe_answer(
+                LIFE, AnnouncedLimit(2.0 + step / 10), told.site.now, "r"
+            )
             await told.turn()
         assert sent <= 2 + 8
         assert told.site.messages - sent <= 2 * 10
@@ -76,7 +78,7 @@
         cut = told.stranger()
         told.site.cut.add(cut.identity)
         lender = told.site.gateways[told.site.lenders()[0]]
-        lender.hear(LIFE, LimitWord(2.0), told.site.now, "r")
+        lender.observe_answer(LIFE, AnnouncedLimit(2.0), told.site.now, "r")
         for _ in range(3):
             await told.turn()
         assert not cut.limit(LIFE).is_limited
@@ -96,7 +98,9 @@
         for row in told.site.rows:
             row.lends = row.identity != old.identity
         told.site.review()
-        told.site.gateways[told.site.lenders()[0]].hear(LIFE, LimitWord(2.0), told.site.now, "r")
+        told.site.gateways[told.site.lenders()[0]].observe_answer(
+            LIFE, AnnouncedLimit(2.0), told.site.now, "r"
+        )
         for _ in range(5):
             await told.turn()
         assert not old.limit(LIFE).is_limited
--- a/tests/permits/test_permits.py
+++ b/tests/permits/test_permits.py
@@ -7,10 +7,10 @@
 from tests.support.lending import LIFE, PLACE, LendingSite, clock_of
 from traystall.core import clock
 from traystall.permits.exceptions import PermitDenied
-from traystall.permits.ranks import SETTLE_SECONDS
+from traystall.permits.lenders import SETTLE_SECONDS
 from traystall.rpc.gen.wire.ttypes import LimitNews, PermitRequest
 from traystall.systems.permits import FIRST_PART
-from traystall.systems.target_limits import ANY_NUMBER, LimitWord
+from traystall.systems.target_limits import UNLIMITED, AnnouncedLimit
 
 SPAN_SECONDS = 4.0
 
@@ -126,7 +126,7 @@
         permits = site.gateways["g-0"]
         permit = await permits.take(LIFE, PLACE)
         assert permits.covers(LIFE, permit)
-        permits.hear(LIFE, LimitWord(0.5), site.now + 0.01, "r")
+        permits.observe_answer(LIFE, AnnouncedLimit(0.5), site.now + 0.01, "r")
         assert not permits.covers(LIFE, permit)
         site.now += 10.0
         permit = await permits.take(LIFE, PLACE)
@@ -134,7 +134,7 @@
         site.now += 3.0
         assert not permits.covers(LIFE, permit)
         assert not permits.covers(LIFE, None)
-        permits.hear(LIFE, ANY_NUMBER, site.now + 1.0, "r")
+        permits.observe_answer(LIFE, UNLIMITED, site.now + 1.0, "r")
         assert permits.covers(LIFE, None)
 
     asyncio.run(story())
@@ -145,7 +145,7 @@
         site = site_of(monkeypatch, 1)
         permits = site.gateways["g-0"]
         permit = await permits.take(LIFE, PLACE)
-        permits.hear("target-1@2", LimitWord(1.0), site.now, "r")
+        permits.observe_answer("target-1@2", AnnouncedLimit(1.0), site.now, "r")
         assert not permits.covers("target-1@2", permit)
 
     asyncio.run(story())
@@ -173,9 +173,9 @@
     async def story():
         site = site_of(monkeypatch, 9)
         first = site.gateways[site.lenders()[0]]
-        first.may_lend = False
+        first.may_grant = False
         request = PermitRequest(sender="x", known=first.record(LIFE), data_centre=PLACE)
-        assert not first.lend(request).lends
+        assert not first.grant(request).lends
         assert await site.ask(first.identity)  # The second lender serves it.
 
     asyncio.run(story())
@@ -198,13 +198,13 @@
     site = site_of(monkeypatch, 2)
     one, two = site.gateways.values()
     site.now += 5.0
-    one.hear(LIFE, ANY_NUMBER, site.now, "r")
-    two.take_news(LimitNews(sender="g-0", limits=[one.record(LIFE)]))
+    one.observe_answer(LIFE, UNLIMITED, site.now, "r")
+    two.merge_limits(LimitNews(sender="g-0", limits=[one.record(LIFE)]))
     assert not two.limit(LIFE).is_limited
-    two.take_news(LimitNews(sender="old", limits=[_named(3.0, age=20.0)]))
+    two.merge_limits(LimitNews(sender="old", limits=[_named(3.0, age=20.0)]))
     assert not two.limit(LIFE).is_limited
     site.now += 5.0
-    two.take_news(LimitNews(sender="new", limits=[_named(3.0, age=0.1)]))
+    two.merge_limits(LimitNews(sender="new", limits=[_named(3.0, age=0.1)]))
     assert two.limit(LIFE).per_second == 3.0
 
 
--- a/tests/permits/test_ranks.py
+++ b/tests/permits/test_ranks.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from traystall.permits.ranks import SETTLE_SECONDS, LenderRanks
+from traystall.permits.lenders import SETTLE_SECONDS, LenderRanking
 from traystall.systems.permits import FIRST_PART, SECOND_PART
 from traystall.tables.gateways import GatewayRow
 
@@ -18,7 +18,7 @@
 
 
 def settled(own, rows):
-    ranks = LenderRanks(own)
+    ranks = LenderRanking(own)
     ranks.note(rows, 0.0)
     ranks.note(rows, SETTLE_SECONDS)
     return ranks
@@ -54,7 +54,7 @@
 
 
 def test_gateway_that_has_just_come_lends_nothing():
-    ranks = LenderRanks("g-0")
+    ranks = LenderRanking("g-0")
     assert ranks.part(LIFE, "here", 0.0) == 0.0
     ranks.note([row("g-0")], 0.0)
     assert ranks.part(LIFE, "here", SETTLE_SECONDS - 0.1) == 0.0
@@ -78,7 +78,7 @@
     source = random.Random(seed)
     rows = {f"g-{n}": row(f"g-{n}") for n in range(6)}
     alive, now = dict.fromkeys(rows, 0.0), 0.0
-    ranks = {name: LenderRanks(name) for name in rows}
+    ranks = {name: LenderRanking(name) for name in rows}
     pending = [(0.0, name, tuple(rows)) for name in rows]
     highest = 0.0
     while now < 120.0:
@@ -88,7 +88,7 @@
             if len(alive) > 2:
                 del alive[gone], ranks[gone]
             new = f"g-{now}"
-            alive[new], ranks[new] = now, LenderRanks(new)
+            alive[new], ranks[new] = now, LenderRanking(new)
             members = tuple(alive)
             pending += [(now + source.uniform(0, _LAG_SECONDS), n, members) for n in alive]
         for at, name, members in [entry for entry in pending if entry[0] <= now]:
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -50,10 +50,10 @@
 def test_routes_and_pools_are_translated():
     table = documents.translate(*documents.check(changed()))
     first, second = table.routes
-    assert (first.streamed, first.resumable, first.may_run_again) == (True, True, True)
+    assert (first.streamed, first.resumable, first.is_safe_to_retry) == (True, True, True)
     assert [(split.pool, split.weight) for split in first.splits] == [("llm", 90), ("other", 10)]
     assert (first.timeout, first.aim, first.max_attempts) == (8.0, 1.0, 2)
-    assert second.may_run_again and not second.streamed
+    assert second.is_safe_to_retry and not second.streamed
     assert table.pools[1].batches.seconds(2) == pytest.approx(0.187)
     assert table.limits.max_body_bytes == 100
     assert table.customers[0].keys == ("k1", "k2")
--- a/tests/quarantine/test_guard.py
+++ b/tests/quarantine/test_guard.py
@@ -7,7 +7,7 @@
 from tests.support.suspects import KEY, LocalLeader
 from traystall.quarantine import guard as guard_module
 from traystall.quarantine.digests import make_key, request_digest
-from traystall.quarantine.ends import WatchedTarget
+from traystall.quarantine.ends import TargetIncarnation
 from traystall.quarantine.guard import GuardedRun
 from traystall.quarantine.wire import to_wire
 
@@ -56,7 +56,7 @@
             run = new_run()
             assert (await guards[0].admit(run, 0.1)).may_send
             guards[0].served(run)
-            guards[0].over(run)
+            guards[0].on_finished(run)
 
     play(story)
 
@@ -125,7 +125,7 @@
         await end_three(guards)
         trial = new_run()
         await guards[0].admit(trial, 0.1)
-        guards[0].over(trial)
+        guards[0].on_finished(trial)
         await settle()
         assert (await guards[1].admit(new_run(), 0.0)).may_send
 
@@ -142,7 +142,7 @@
         assert (await guards[0].admit(trial, 0.1)).may_send
         assert not (await guards[0].admit(new_run(), 0.1)).may_send
         guards[0].ended(trial, "engine", "life-of-trial", "refused")
-        guards[0].over(trial)
+        guards[0].on_finished(trial)
         admission = await guards[0].admit(new_run(), 0.1)
         assert (admission.may_send, admission.retry_after) == (False, 1.0)
         assert (await guards[0].admit(new_run(b"another"), 0.1)).may_send
@@ -164,7 +164,7 @@
         trial = new_run()
         assert (await guards[0].admit(trial, 0.1)).may_send
         guards[0].served(trial)
-        guards[0].over(trial)
+        guards[0].on_finished(trial)
         for _ in range(3):
             assert (await guards[0].admit(new_run(), 0.1)).may_send
 
@@ -217,9 +217,9 @@
     """512 runs of 4 MiB that were given up would be two gigabytes."""
 
     async def story(leader, guards):
-        for looked_into in (guards[0].ends.on_broken, guards[0].ends.on_left):
+        for looked_into in (guards[0].ends.on_connection_broken, guards[0].ends.on_run_abandoned):
             run = new_run(bytes(100_000))
-            looked_into(WatchedTarget("life", "127.0.0.1:1", "engine"), run)
+            looked_into(TargetIncarnation("life", "127.0.0.1:1", "engine"), run)
             assert run._body == b""
         guards[0].ends.close()
 
@@ -242,7 +242,7 @@
 @pytest.mark.parametrize("told", [False, True])
 def test_reports_wait_until_every_control_daemon_that_is_heard_knows_them(told):
     async def story(leader, guards):
-        guards[0].all_tell = lambda: told
+        guards[0].daemons_support_suspects = lambda: told
         await end_three(guards[:1])
         assert (len(leader.table) == 1) is told
 
--- a/tests/quarantine/test_state.py
+++ b/tests/quarantine/test_state.py
@@ -5,14 +5,14 @@
 from hypothesis import strategies as st
 
 from traystall.quarantine.models import (
-    MOST_TRIALS,
+    MAX_TRIALS,
     TRIAL_ENDS,
     TRIAL_SECONDS,
     BeginTrial,
     EndedRun,
-    Event,
     LiftSuspect,
     ReportRuns,
+    SuspectEvent,
     Verdict,
 )
 from traystall.quarantine.state import (
@@ -68,10 +68,10 @@
 
 def test_trials_that_say_nothing_are_counted_too():
     table = suspected()
-    for number in range(MOST_TRIALS):
+    for number in range(MAX_TRIALS):
         time = number * (TRIAL_SECONDS + 1)
         assert ask(table, f"t-{number}", time=time).verdict is Verdict.TRIAL
-    assert ask(table, "late", time=TRIAL_SECONDS * (MOST_TRIALS + 2)).verdict is Verdict.REFUSED
+    assert ask(table, "late", time=TRIAL_SECONDS * (MAX_TRIALS + 2)).verdict is Verdict.REFUSED
 
 
 def test_one_trial_of_a_pool_at_a_time_so_that_its_end_tells_who_did_it():
@@ -96,8 +96,8 @@
 
 def test_whole_answer_clears_a_request():
     table = suspected()
-    news = report(table, served=[ENDS])
-    assert [one.event for one in news] == [Event.CLEARED]
+    updates = report(table, served=[ENDS])
+    assert [one.event for one in updates] == [SuspectEvent.CLEARED]
     assert ask(table).verdict is Verdict.FREE
     assert len(table) == 0
 
@@ -109,10 +109,10 @@
         report(table, end(f"life-{number}"), end(f"life-{number}", OTHER))
     report(table, end("another-life", b"elsewhere"))
     ask(table)
-    news = report(table, end("life-of-trial", trial="t-1"))
-    assert {(one.event, one.digest) for one in news} >= {
-        (Event.REFUSED, ENDS),
-        (Event.CLEARED, OTHER),
+    updates = report(table, end("life-of-trial", trial="t-1"))
+    assert {(one.event, one.digest) for one in updates} >= {
+        (SuspectEvent.REFUSED, ENDS),
+        (SuspectEvent.CLEARED, OTHER),
     }
     assert table.get(OTHER) is None
     assert table.get(b"elsewhere").ends == 1
@@ -166,8 +166,8 @@
 
 def test_operator_lifts_it():
     table = refused()
-    news = table.lift(LiftSuspect(ENDS, "eva", 1.0))
-    assert [(one.event, one.why) for one in news] == [(Event.CLEARED, "lifted by eva")]
+    updates = table.lift(LiftSuspect(ENDS, "eva", 1.0))
+    assert [(one.event, one.why) for one in updates] == [(SuspectEvent.CLEARED, "lifted by eva")]
     assert ask(table).verdict is Verdict.FREE
     assert table.lift(LiftSuspect(ENDS, "eva", 1.0)) == []
 
--- a/tests/registry/test_ages.py
+++ b/tests/registry/test_ages.py
@@ -7,7 +7,7 @@
 from benchmarks.registry import measure
 from traystall.core import clock
 from traystall.registry.models import TargetReport
-from traystall.registry.service import AGES_SECONDS, WATCH_HOLD, RegistryService
+from traystall.registry.service import AGES_SECONDS, WATCH_HOLD_SECONDS, RegistryService
 from traystall.rpc.gen.wire.ttypes import RegistryRequest
 
 # What a machine busy with other tests may add, in seconds.
@@ -40,7 +40,7 @@
         began = clock.monotonic()
         watching = asyncio.create_task(service.watch(request))
         if changes:
-            await asyncio.sleep(WATCH_HOLD / 10)
+            await asyncio.sleep(WATCH_HOLD_SECONDS / 10)
             service.report(TargetReport("u", "p", "x:2"))
         return await watching, clock.monotonic() - began
 
@@ -50,18 +50,24 @@
 @pytest.mark.parametrize("told", [None, AGES_SECONDS * 0.95])
 def test_change_brings_ages_to_who_does_not_know_them_or_is_due(told):
     reply, seconds = play(True, ages_told=told)
-    assert "t" in reply.ages and seconds < WATCH_HOLD / 10 + _SLACK
+    assert "t" in reply.ages and seconds < WATCH_HOLD_SECONDS / 10 + _SLACK
 
 
 def test_change_is_told_at_once_without_ages_to_who_was_told_lately():
     reply, seconds = play(True, ages_told=0.1)
-    assert reply.ages is None and seconds < WATCH_HOLD / 10 + _SLACK
+    assert reply.ages is None and seconds < WATCH_HOLD_SECONDS / 10 + _SLACK
     assert [record.identity for record in reply.targets] == ["u"]
 
 
 @pytest.mark.parametrize(
     ("told", "expected"),
-    [(None, WATCH_HOLD), (0.0, AGES_SECONDS), (0.6, AGES_SECONDS - 0.6), (7.0, 0.0), (-7.0, 1.0)],
+    [
+        (None, WATCH_HOLD_SECONDS),
+        (0.0, AGES_SECONDS),
+        (0.6, AGES_SECONDS - 0.6),
+        (7.0, 0.0),
+        (-7.0, 1.0),
+    ],
 )
 def test_watch_is_held_until_ages_are_due(told, expected):
     reply, seconds = play(False, ages_told=told)
--- a/tests/registry/test_memory.py
+++ b/tests/registry/test_memory.py
@@ -6,8 +6,8 @@
 
 from traystall.core import clock
 from traystall.core.exceptions import DiskFailed
-from traystall.registry.memory import REMEMBERED_AGE, RegistryMemory
 from traystall.registry.models import RegisteredState, TargetReport
+from traystall.registry.persistence import REMEMBERED_AGE, RegistryPersistence
 from traystall.registry.service import RegistryService
 from traystall.registry.store import TargetStore
 
@@ -22,7 +22,7 @@
 
 async def remember(registry, store):
     """Let a memory write down what is there now, and end it."""
-    task = asyncio.create_task(RegistryMemory(registry, store).remember_forever())
+    task = asyncio.create_task(RegistryPersistence(registry, store).save_forever())
     while not store.load():
         await asyncio.sleep(0.01)
     task.cancel()
@@ -36,7 +36,7 @@
         before.leave("t-3")
         await remember(before, TargetStore(tmp_path))
         after = service()
-        await RegistryMemory(after, TargetStore(tmp_path)).restore()
+        await RegistryPersistence(after, TargetStore(tmp_path)).restore()
         return after.registry.rows()
 
     rows = asyncio.run(scenario())
@@ -63,7 +63,7 @@
     async def scenario():
         registry = service()
         registry.report(report("t-1", RegisteredState.DRAINING, sequence=1))
-        await RegistryMemory(registry, TargetStore(tmp_path)).restore()
+        await RegistryPersistence(registry, TargetStore(tmp_path)).restore()
         return registry.registry.get("t-1")
 
     assert not asyncio.run(scenario()).is_ready
--- a/tests/registry/test_watch.py
+++ b/tests/registry/test_watch.py
@@ -8,7 +8,7 @@
 from traystall.quarantine.state import SuspectTable
 from traystall.registry.follower import RegistryFollower
 from traystall.registry.models import RegisteredState, TargetReport
-from traystall.registry.service import WATCH_HOLD, RegistryService
+from traystall.registry.service import WATCH_HOLD_SECONDS, RegistryService
 from traystall.rpc.client import LinkIdentity, LinkPool
 from traystall.rpc.gen.wire.ttypes import RegistryReply, RegistryRequest
 from traystall.rpc.server import RpcServer
@@ -36,7 +36,7 @@
         await asyncio.sleep(0)
         number.number = 4
         service.on_applied()
-        async with asyncio.timeout(WATCH_HOLD / 2):
+        async with asyncio.timeout(WATCH_HOLD_SECONDS / 2):
             assert (await waiting).number == 4
 
     asyncio.run(play())
@@ -82,7 +82,7 @@
         seen, told = [], []
         follower.number = lambda: 3
         follower.merge = lambda report, seen_at: seen.append(report.state)
-        follower.on_number = lambda number, address: told.append((number, address))
+        follower.on_newer_revision = lambda number, address: told.append((number, address))
         task = asyncio.create_task(follower.follow_forever())
         async with asyncio.timeout(5):
             while not seen:
@@ -119,14 +119,14 @@
         links = LinkPool(LinkIdentity("c", "gateway", "g"))
         follower = RegistryFollower(links, "g", lambda: [f"127.0.0.1:{port}"])
         follower.number = lambda: 3
-        follower.on_number = lambda number, address: told.append(number)
+        follower.on_newer_revision = lambda number, address: told.append(number)
         task = asyncio.create_task(follower.follow_forever())
-        await asyncio.sleep(1.5 * WATCH_HOLD)
+        await asyncio.sleep(1.5 * WATCH_HOLD_SECONDS)
         task.cancel()
         await server.stop()
         await links.close()
         assert told and len(replies) <= 2
-        assert follower.newest_number == 4
+        assert follower.newest_revision == 4
 
     asyncio.run(play())
 
@@ -151,10 +151,10 @@
         seen = set()
         async with asyncio.timeout(10):
             while not {9, 3} <= seen:
-                seen.add(follower.newest_number)
+                seen.add(follower.newest_revision)
                 await asyncio.sleep(0)
         following.cancel()
-        assert follower.newest_number == 3
+        assert follower.newest_revision == 3
 
     asyncio.run(play())
 
@@ -177,7 +177,7 @@
         await asyncio.sleep(0)
         suspects.report(ReportRuns((end("life-1"), end("life-2")), (), (), 1.0))
         service.on_applied()
-        async with asyncio.timeout(WATCH_HOLD / 2):
+        async with asyncio.timeout(WATCH_HOLD_SECONDS / 2):
             told = (await waiting).suspects
         assert [(one.digest, one.ends) for one in told.changed] == [(b"digest", 2)]
         again = await watch_from(
@@ -206,6 +206,6 @@
     """It would end the link of whoever sends what it does not know."""
     follower = RegistryFollower(None, "g", lambda: [])
     follower._tells_suspects = {"a": True, "b": True}
-    assert follower.all_tell_suspects
+    assert follower.all_support_suspects
     follower._tells_suspects["c"] = False
-    assert not follower.all_tell_suspects
+    assert not follower.all_support_suspects
--- a/tests/support/crowd.py
+++ b/tests/support/crowd.py
@@ -13,11 +13,11 @@
 
 import msgspec
 
-from traystall.admission.patience import shared_pools
-from traystall.passthrough.admission.book import AdmissionBook, Arrival
+from traystall.admission.pool_sharing import shared_pools
+from traystall.passthrough.admission.controller import AdmissionController, AdmissionRequest
 from traystall.passthrough.admission.forecast import PoolLoad
-from traystall.passthrough.stages.batching import FreeTarget, PieceJob, take_batch
-from traystall.passthrough.stages.pace import begins_at
+from traystall.passthrough.stages.batching import FreeTarget, PieceJob, select_batch
+from traystall.passthrough.stages.pace import next_call_time
 from traystall.routes.models import BatchProfile, Pool, Route, Split, StagePlan
 
 # How often a request that waits to be let in asks again, and how long it waits at the most, in
@@ -127,7 +127,7 @@
     def __init__(self, pools, kinds, seed=1, shared=None, customers=16, skew=1.2):
         self.pools: dict[str, CrowdPool] = pools
         self.kinds: list[CrowdKind] = kinds
-        self.book = AdmissionBook()
+        self.book = AdmissionController()
         if shared is None:
             tables = {name: Pool(name, batches=pool.profile) for name, pool in pools.items()}
             shared = shared_pools([kind.route for kind in kinds], tables)
@@ -188,8 +188,8 @@
     def lose_batcher(self, _, now):
         """Lose what the batching gateway knows: who waits asks another one anew."""
         waits = self.book.waits(now)
-        self.book = AdmissionBook()
-        self.book.take_over(waits, 0.2, now)
+        self.book = AdmissionController()
+        self.book.merge_peer_waits(waits, 0.2, now)
         for pool in self.pools.values():
             pool.waiting = []
         for request in list(self._jobs.values()):
@@ -217,10 +217,10 @@
             return
         waited = now - request.asked_at
         patience = request.kind.route.aim * PATIENCE_PART
-        if waited + max(ASK_SECONDS, verdict.seconds_to_turn) <= patience:
+        if waited + max(ASK_SECONDS, verdict.seconds_to_admission) <= patience:
             self.at(now + ASK_SECONDS, lambda at: self._ask(request, at))
             return
-        self.book.refuse(request.name, now)
+        self.book.record_refusal(request.name, now)
         in_quarter = waited <= request.kind.route.aim / 4
         request.fate.outcome = REFUSED_AT_ONCE if in_quarter else REFUSED_LATE
         if not request.repeats:
@@ -241,7 +241,7 @@
         kind = request.kind
         loads = {s.pool: self.pools[s.pool].load(now) for s in kind.route.stages}
         left = request.since + kind.route.aim - now - kind.engine_seconds
-        arrival = Arrival(
+        arrival = AdmissionRequest(
             request.name,
             kind.route,
             request.counts,
@@ -275,7 +275,7 @@
             self.at(now + request.kind.engine_seconds, lambda at: self._end(request, at))
             return
         plan = request.kind.route.stages[request.stage]
-        self.book.asked(request.name, request.stage)
+        self.book.requested(request.name, request.stage)
         left = request.since + request.kind.route.aim - now - request.kind.engine_seconds
         due = now + left - self._usual(request, request.stage)
         request.left = request.counts[request.stage]
@@ -330,7 +330,7 @@
                 break
             room = pool.profile.room_bytes - worker.taken
             target = FreeTarget(workers=len(pool.workers))
-            batch = take_batch(pool.waiting, pool.profile, room, now, target, started)
+            batch = select_batch(pool.waiting, pool.profile, room, now, target, started)
             if not batch:
                 continue
             taken = set(map(id, batch))
@@ -351,7 +351,9 @@
         if not self.shared.intersection({name for name, p in self.pools.items() if p is pool}):
             return False
         waiting, targets = len(pool.waiting), len(pool.workers)
-        begin = begins_at(pool.last_began, pool.call_seconds, targets, waiting, pool.profile.batch)
+        begin = next_call_time(
+            pool.last_began, pool.call_seconds, targets, waiting, pool.profile.batch
+        )
         if begin <= now + 1e-6:
             return False
         if pool.timer <= now:
--- a/tests/support/directory_site.py
+++ b/tests/support/directory_site.py
@@ -14,7 +14,7 @@
 from traystall.control.subscribers import Subscribers
 from traystall.core import clock
 from traystall.core.exceptions import RpcTimeout
-from traystall.evacuations.models import EvacuatedPlaces
+from traystall.evacuations.models import EvacuatedDataCentres
 from traystall.gateway.configuration import ConfigurationFollower
 from traystall.quarantine.state import SuspectTable
 from traystall.rpc.gen.wire.ttypes import GatewayRecord, WatchReply, WatchRequest
@@ -43,7 +43,7 @@
     def __init__(self):
         self.state = SimpleNamespace(
             catalog=Catalog(),
-            evacuations=SimpleNamespace(places=EvacuatedPlaces()),
+            evacuations=SimpleNamespace(places=EvacuatedDataCentres()),
             suspects=SuspectTable(),
         )
         self.replica = SimpleNamespace(identity="control-1", members=[])
--- a/tests/support/emulator/gateway.py
+++ b/tests/support/emulator/gateway.py
@@ -7,15 +7,15 @@
 from tests.support.suspects import LocalLeader
 from traystall.core import clock
 from traystall.core.ids import new_id
-from traystall.evacuations.held import HeldEvacuations
+from traystall.evacuations.cache import EvacuationCache
 from traystall.http.server import HttpServer
-from traystall.passthrough.admission.budget import BudgetRule
+from traystall.passthrough.admission.budget import RepeatBudgetRule
 from traystall.passthrough.context import PassContext
 from traystall.passthrough.dialect import HeaderNames, PlainStageDialect
 from traystall.passthrough.entry.front import PassFront
-from traystall.passthrough.placement.placing import Placing
+from traystall.passthrough.placement.service import PlacementService
 from traystall.passthrough.stages.batcher import Batcher
-from traystall.permits.news import LimitTeller
+from traystall.permits.broadcast import LimitBroadcaster
 from traystall.registry.models import TargetReport
 from traystall.routes.models import (
     BatchProfile,
@@ -41,18 +41,18 @@
 
 
 class _Follower:
-    newest_number = 0
+    newest_revision = 0
 
     def __init__(self, table):
         self.held = _Held(table)
         self.directory = []
-        self.evacuations = HeldEvacuations()
+        self.evacuations = EvacuationCache()
 
 
 class _Registry:
-    newest_number = 0
+    newest_revision = 0
 
-    def last_heard(self):
+    def last_reply_at(self):
         return clock.monotonic()
 
 
@@ -112,7 +112,7 @@
             "gateway-1",
             self.names,
             PlainStageDialect(),
-            budget or BudgetRule(ratio=1.0, slack=1000),
+            budget or RepeatBudgetRule(ratio=1.0, slack=1000),
             lender_settle_seconds=0.0,
         )
         self.context.follower = _Follower(routing_table)
@@ -123,12 +123,12 @@
         self.context.guard = self.leader.guard()
         self.context.permits.links = links
         board = self.context.board
-        self.teller = LimitTeller(
+        self.teller = LimitBroadcaster(
             self.context.permits, links, self.context.directory, board.data_centre_of, board.lives
         )
         self.teller.review()
         self.context.batcher = Batcher(self.context, links)
-        self.context.placing = Placing(self.context, links)
+        self.context.placement_service = PlacementService(self.context, links)
         self.front = PassFront(self.context)
         for pool, runner in runners:
             self.add(pool, runner)
@@ -147,7 +147,7 @@
         await self.server.listen("127.0.0.1:0")
         self.port = self.server.port
         self.session = aiohttp.ClientSession(auto_decompress=False)
-        self.telling = asyncio.create_task(self.teller.tell_forever())
+        self.telling = asyncio.create_task(self.teller.run_forever())
         self.reports = asyncio.create_task(self.context.guard.reports.send_forever())
         return self
 
--- a/tests/support/gateway_bench.py
+++ b/tests/support/gateway_bench.py
@@ -16,7 +16,7 @@
 from traystall.gateway.relay import Relay
 from traystall.ledger.models import Claim, Release, Settle
 from traystall.ledger.state import Ledger
-from traystall.permits.ranks import LenderRanks
+from traystall.permits.lenders import LenderRanking
 from traystall.rpc.gen.wire.ttypes import ClaimReply
 from traystall.tables.configuration import ConfigurationTables
 from traystall.tables.entities import Customer, DataCentre, Pipeline, Stage, Target
@@ -107,7 +107,7 @@
             FakeSettings(), "gateway-1/x", None, self.follower, self.ledger, self.leader.guard()
         )
         self.context.random.seed(1)
-        ranks = self.context.permits.ranks = LenderRanks("gateway-1/x", settle_seconds=0.0)
+        ranks = self.context.permits.ranks = LenderRanking("gateway-1/x", settle_seconds=0.0)
         ranks.note([], clock.monotonic())
 
     async def __aenter__(self):
--- a/tests/support/group.py
+++ b/tests/support/group.py
@@ -11,7 +11,7 @@
 from tests.support.group_users import Users
 from tests.support.hosts import Breach, Disk, Host
 from traystall.consensus.models import MemberRecord
-from traystall.evacuations.held import HeldEvacuations
+from traystall.evacuations.cache import EvacuationCache
 from traystall.gateway.configuration import HeldRevision
 
 __all__ = ["Breach", "Disk", "Group", "Host"]
@@ -44,7 +44,7 @@
         self.given_back = set()
         self.claims = 0
         self.revisions = [HeldRevision() for _ in range(2)]
-        self.held_evacuations = [HeldEvacuations() for _ in range(2)]
+        self.held_evacuations = [EvacuationCache() for _ in range(2)]
         self.evacuated = {}
         # The highest version that an operator was told.
         self.acknowledged = 0
--- a/tests/support/group_users.py
+++ b/tests/support/group_users.py
@@ -5,7 +5,7 @@
 from traystall.catalog.models import ApplyBundle, ApplyOutcome
 from traystall.core.exceptions import DeltaMismatch
 from traystall.core.serialization import digest
-from traystall.evacuations.held import to_wire
+from traystall.evacuations.cache import to_wire
 from traystall.evacuations.models import OrderEvacuation
 from traystall.ledger.models import Claim, ClaimOutcome, LedgerOutcome, Release
 from traystall.rpc.gen.wire.ttypes import WatchReply
--- a/tests/support/lending.py
+++ b/tests/support/lending.py
@@ -9,10 +9,10 @@
 from traystall.core import clock
 from traystall.core.exceptions import RpcTimeout
 from traystall.permits.exceptions import PermitDenied
+from traystall.permits.lenders import SETTLE_SECONDS
 from traystall.permits.permits import Permits
-from traystall.permits.ranks import SETTLE_SECONDS
 from traystall.rpc.gen.wire.ttypes import PermitRequest, PermitReturn
-from traystall.systems.target_limits import LimitWord
+from traystall.systems.target_limits import AnnouncedLimit
 from traystall.tables.gateways import GatewayRow
 
 LIFE = "target-1"
@@ -35,10 +35,10 @@
         if peer is None or {self._own, self._name} & self._site.cut:
             raise RpcTimeout("no answer")
         if isinstance(message, PermitRequest):
-            return peer.lend(message)
+            return peer.grant(message)
         if isinstance(message, PermitReturn):
-            return peer.take_back(message)
-        return peer.take_news(message)
+            return peer.on_permit_returned(message)
+        return peer.merge_limits(message)
 
 
 class _Links:
@@ -79,7 +79,7 @@
             GatewayRow(name, name, PLACE, "", name, 1, "serving", self.now, False, lends=True)
         )
         if self.limit is not None:
-            permits.hear(LIFE, LimitWord(self.limit), self.now, "r")
+            permits.observe_answer(LIFE, AnnouncedLimit(self.limit), self.now, "r")
 
     def end(self, name):
         """End a gateway; the others see that once `unlist` is called."""
@@ -104,13 +104,13 @@
         permits = self.gateways[name]
         if not permits.limit(LIFE).is_limited:
             self.sent.append((self.now, name))
-            permits.hear(LIFE, LimitWord(self.limit), self.now, "r")
+            permits.observe_answer(LIFE, AnnouncedLimit(self.limit), self.now, "r")
             return True
         with suppress(PermitDenied):
             permit = await permits.take(LIFE, PLACE, patience)
             self.sent.append((max(self.now, permit.valid_from), name))
             # An answer that names the limit again, or none.
-            permits.hear(LIFE, LimitWord(self.limit), self.now, "r")
+            permits.observe_answer(LIFE, AnnouncedLimit(self.limit), self.now, "r")
             return True
         self.denied += 1
         return False
--- a/tests/support/limit_soak.py
+++ b/tests/support/limit_soak.py
@@ -14,7 +14,7 @@
 from tests.support.lending import LIFE, PLACE, LendingSite
 from traystall.core import clock
 from traystall.permits.exceptions import PermitDenied
-from traystall.systems.target_limits import ANY_NUMBER, LimitWord
+from traystall.systems.target_limits import UNLIMITED, AnnouncedLimit
 
 DAY_SECONDS = 90.0
 SPAN_SECONDS = 4.0
@@ -91,10 +91,10 @@
         site = self._site
         self._close_period()
         site.limit = self._random.choice((*LIMITS, None))
-        word = ANY_NUMBER if site.limit is None else LimitWord(site.limit)
+        word = UNLIMITED if site.limit is None else AnnouncedLimit(site.limit)
         site.now += 0.6
         for permits in site.gateways.values():
-            permits.hear(LIFE, word, site.now, "r")
+            permits.observe_answer(LIFE, word, site.now, "r")
 
     def _close_period(self):
         self._periods.append((self._since, self._site.now, self._site.limit))
--- a/tests/support/stage_burst.py
+++ b/tests/support/stage_burst.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from traystall.passthrough.admission.book import AdmissionBook, Arrival
+from traystall.passthrough.admission.controller import AdmissionController, AdmissionRequest
 from traystall.passthrough.admission.forecast import PoolLoad
 from traystall.routes.models import BatchProfile, Route, Split, StagePlan
 
@@ -67,7 +67,7 @@
     def __init__(self, pools: dict[str, SimPool], kinds: list[Kind], seed: int = 1):
         self.pools = pools
         self.kinds = kinds
-        self.book = AdmissionBook()
+        self.book = AdmissionController()
         self.fates: list[Fate] = []
         self._random = random.Random(seed)
         self._events: list = []
@@ -107,7 +107,7 @@
     def _ask(self, kind, fate, name, since, now):
         loads = {stage.pool: self.pools[stage.pool].load() for stage in kind.route.stages}
         waited = now - since
-        arrival = Arrival(name, kind.route, kind.counts, 1, kind.slack - waited, 6.0, name)
+        arrival = AdmissionRequest(name, kind.route, kind.counts, 1, kind.slack - waited, 6.0, name)
         verdict = self._admit(arrival, loads, now)
         if verdict.admitted:
             fate.wait = verdict.wait
@@ -128,7 +128,7 @@
             )
             fate.in_time = fate.stages_seconds <= kind.slack + usual
             return
-        self.book.asked(name, stage)
+        self.book.requested(name, stage)
         pool = self.pools[kind.route.stages[stage].pool]
         left = [kind.counts[stage]]
 
--- a/tests/support/suspects.py
+++ b/tests/support/suspects.py
@@ -19,7 +19,7 @@
         self.table = SuspectTable()
         self.is_lost = False
         self.trials = 0
-        self.news = []
+        self.updates = []
         self._guards = []
 
     def guard(self):
@@ -44,7 +44,7 @@
             self.trials += result.verdict == "trial"
             reply = TrialReply(verdict=result.verdict.value, seconds=result.seconds)
         else:
-            self.news += self.table.report(_to_command(request))
+            self.updates += self.table.report(_to_command(request))
             reply = ReportRunsReply(version=self.table.version)
         self.tell()
         return reply
--- a/tests/support/variant_gateway.py
+++ b/tests/support/variant_gateway.py
@@ -17,34 +17,34 @@
 
 def without_shares():
     """Send bulk work to targets without any share."""
-    routing.has_room = lambda row, priority, now: not row.asked.rests(now)
+    routing.has_room = lambda row, priority, now: not row.availability.is_backing_off(now)
 
 
 def without_quick_slot():
     """Keep no slot for quick work."""
-    shares.kept_targets = lambda targets, has_quick_work, quick_slots: frozenset()
+    shares.reserved_targets = lambda targets, has_quick_work, quick_slots: frozenset()
 
 
 def without_windows():
     """Never exceed the dealt share."""
-    windows.on_time = lambda row, seconds, least, was_limited: None
+    windows.on_duration = lambda row, seconds, least, was_limited: None
 
 
 def without_giving_up():
     """Let a generation run on until the deadline itself."""
-    deadlines.is_hopeless = lambda elapsed, done, left, remaining: False
+    deadlines.will_miss_deadline = lambda elapsed, done, left, remaining: False
 
 
 def without_drop():
     """Let work wait until its deadline, however little is left."""
-    deadlines.least_time = lambda times, pipeline, from_stage, now: 0.0
-    admission.least_time = deadlines.least_time
-    deadlines.likely_time = deadlines.least_time
+    deadlines.minimum_time = lambda times, pipeline, from_stage, now: 0.0
+    admission.minimum_time = deadlines.minimum_time
+    deadlines.likely_time = deadlines.minimum_time
 
 
 def without_ratio():
     """Take every target for equally fast."""
-    speeds.on_time = lambda row, seconds, typical, now: None
+    speeds.on_duration = lambda row, seconds, typical, now: None
     speeds.on_overdue = lambda row, elapsed, typical, now: None
 
 
--- a/tests/systems/test_limits.py
+++ b/tests/systems/test_limits.py
@@ -21,14 +21,14 @@
 def test_parts_sum_to_the_whole_whatever_runs(inside, whole, surplus):
     """Also with more gateways than declared, and each cut off from all others."""
     customer = Customer("x", tuple(sorted(inside)), Limits(rate=float(whole), concurrency=whole))
-    count = limits.gateways_inside(customer, PLACES)
+    count = limits.count_gateways(customer, PLACES)
     running = [
         (place.name, index)
         for place in PLACES
         if place.name in inside
         for index in range(place.gateways + surplus)
     ]
-    positions = [limits.position_inside(customer, PLACES, *gateway) for gateway in running]
+    positions = [limits.gateway_position(customer, PLACES, *gateway) for gateway in running]
     assert len([p for p in positions if p < count]) == len({p for p in positions if p < count})
     assert sum(limits.part_of(whole, p, count) for p in positions) <= whole + 1e-9
     assert sum(limits.whole_part_of(whole, p, count) for p in positions) == whole
@@ -68,7 +68,7 @@
             running.append((now + seconds, at))
         else:
             lender = (at + rng.choice((1, 2))) % 3
-            loan = gateways[lender].lend(
+            loan = gateways[lender].grant(
                 customer, lender, 3, now + offsets[lender], limits.Loan(8.0, 4)
             )
             if not (answers_get_lost and rng.random() < 0.5):
@@ -90,7 +90,7 @@
     while one.admit(customer, 0, 2, 0.0, 1.0).within:
         pass
     for _ in range(4):
-        loan = other.lend(customer, 1, 2, 0.0, limits.Loan(8.0, 4))
+        loan = other.grant(customer, 1, 2, 0.0, limits.Loan(8.0, 4))
         one.borrow("x", loan, 0.0)
     extra = 0
     while one.admit(customer, 0, 2, 0.0, 1.0).within:
--- a/tests/systems/test_orders.py
+++ b/tests/systems/test_orders.py
@@ -2,10 +2,10 @@
 
 import pytest
 
-from traystall.systems.orders import EngineState, LoadBudget, Loaded, plan
+from traystall.systems.orders import EngineState, LoadBudget, LoadedModel, plan
 from traystall.tables.entities import Kind, Model, Target
 
-OLD, NEW = Loaded("m", "1"), Loaded("m", "2")
+OLD, NEW = LoadedModel("m", "1"), LoadedModel("m", "2")
 PLACES = ("north", "south")
 
 
--- a/tests/systems/test_owners.py
+++ b/tests/systems/test_owners.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from traystall.systems.owners import ASK_ALL, COPIES, owned
+from traystall.systems.probe_assignment import ASK_ALL, COPIES, assigned_targets
 
 
 @pytest.mark.parametrize("gateways", [1, 2, 9, 35])
@@ -10,7 +10,7 @@
 def test_each_target_has_its_askers(targets, gateways):
     names = [f"t{n}" for n in range(targets)]
     askers = [f"g{n}" for n in range(gateways)]
-    lists = [owned(names, askers, own) for own in askers]
+    lists = [assigned_targets(names, askers, own) for own in askers]
     wanted = gateways if targets <= ASK_ALL else min(COPIES, gateways)
     for name in names:
         assert sum(name in asked for asked in lists) == wanted
--- a/tests/systems/test_rests.py
+++ b/tests/systems/test_rests.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from traystall.systems.rests import LONGEST_REST_SECONDS, rest_seconds
+from traystall.systems.retry_after import LONGEST_REST_SECONDS, parse_retry_after
 
 DATE = "Tue, 08 Jul 2026 10:00:00 GMT"
 
@@ -37,18 +37,18 @@
     ],
 )
 def test_values(values, seconds):
-    assert rest_seconds(values) == seconds
+    assert parse_retry_after(values) == seconds
 
 
 def test_date_counts_from_the_date_of_the_answer():
-    assert rest_seconds(["Tue, 08 Jul 2026 10:00:07 GMT"], DATE) == 7.0
-    assert rest_seconds(["Tue, 08 Jul 2026 09:00:00 GMT"], DATE) == 0.0
-    assert rest_seconds(["Tue, 08 Jul 2036 09:00:00 GMT"], DATE) == LONGEST_REST_SECONDS
+    assert parse_retry_after(["Tue, 08 Jul 2026 10:00:07 GMT"], DATE) == 7.0
+    assert parse_retry_after(["Tue, 08 Jul 2026 09:00:00 GMT"], DATE) == 0.0
+    assert parse_retry_after(["Tue, 08 Jul 2036 09:00:00 GMT"], DATE) == LONGEST_REST_SECONDS
 
 
 @pytest.mark.parametrize("date", [None, "", "today", "Tue, 08 Jul 2026 10:00:00"])
 def test_date_without_a_date_to_count_from_asks_for_nothing(date):
-    assert rest_seconds(["Tue, 08 Jul 2026 10:00:07 GMT"], date) == 0.0
+    assert parse_retry_after(["Tue, 08 Jul 2026 10:00:07 GMT"], date) == 0.0
 
 
 NUMBERS = st.one_of(st.integers(), st.floats()).map(str)
@@ -59,4 +59,4 @@
 
 @given(st.lists(st.one_of(st.text(), NUMBERS, DATES), max_size=3), st.one_of(st.none(), DATES))
 def test_whatever_is_written_asks_for_a_time_within_the_longest(values, date):
-    assert 0.0 <= rest_seconds(values, date) <= LONGEST_REST_SECONDS
+    assert 0.0 <= parse_retry_after(values, date) <= LONGEST_REST_SECONDS
--- a/tests/systems/test_target_limits.py
+++ b/tests/systems/test_target_limits.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from traystall.systems.target_limits import ANY_NUMBER, LEAST_PER_SECOND, read_limit
+from traystall.systems.target_limits import LEAST_PER_SECOND, UNLIMITED, parse_limit
 
 
 @pytest.mark.parametrize(
@@ -23,14 +23,14 @@
     ],
 )
 def test_number_is_what_it_takes_a_second(values, per_second):
-    assert read_limit(values).per_second == per_second
+    assert parse_limit(values).per_second == per_second
 
 
 @pytest.mark.parametrize("values", [[], ["inf"], ["Infinity"]])
 def test_no_value_and_infinity_say_any_number(values):
-    assert read_limit(values) == ANY_NUMBER
+    assert parse_limit(values) == UNLIMITED
 
 
 @pytest.mark.parametrize("value", ["", "nan", "-1", "-inf", "many", "0,5", "1, 2", "1_0", "0x1"])
 def test_what_can_not_be_read_says_nothing(value):
-    assert read_limit([value]) is None
+    assert parse_limit([value]) is None
--- a/traystall/admission/demand.py
+++ b/traystall/admission/demand.py
@@ -38,11 +38,11 @@
 class _Asker(msgspec.Struct):
     """Hold one customer of one kind: how often it asks, and what it has saved up."""
 
-    asked: FadingRate = msgspec.field(default_factory=FadingRate)
+    requested: FadingRate = msgspec.field(default_factory=FadingRate)
     saved: float = 1.0
 
 
-class Demand:
+class DemandTracker:
     """Count who asks for what at one gateway that batches, and say who may begin."""
 
     def __init__(self):
@@ -53,27 +53,27 @@
         self._parts_of_customers: dict[str, dict[str, float]] = {}
         self._worked_out_at = float("-inf")
 
-    def asked(self, kind: str, customer: str, pieces: Mapping[str, int], now: float) -> None:
+    def requested(self, kind: str, customer: str, pieces: Mapping[str, int], now: float) -> None:
         """Count a request that asks to begin; each try of a caller counts."""
         pools = self._pieces.setdefault(kind, {})
         for pool, count in pieces.items():
             pools.setdefault(pool, FadingRate()).add(count, now)
         asker = self._askers.setdefault(kind, {}).setdefault(customer, _Asker())
-        asker.asked.add(1.0, now)
+        asker.requested.add(1.0, now)
         part = self._parts_of_customers.get(kind, {}).get(customer, 1.0)
         asker.saved = min(_MOST_SAVED, asker.saved + part)
 
-    def work_out(self, rates: Mapping[str, float], now: float) -> None:
+    def update_shares(self, rates: Mapping[str, float], now: float) -> None:
         """Work the parts out by what crowded pools make, in pieces a second, if it is time."""
         if now - self._worked_out_at < _PARTS_SECONDS:
             return
         self._worked_out_at = now
         self._forget(now)
-        asked = {
+        requested = {
             kind: {pool: rate.at_time(now) for pool, rate in pools.items()}
             for kind, pools in self._pieces.items()
         }
-        self._parts = parts_of_kinds(asked, rates)
+        self._parts = parts_of_kinds(requested, rates)
         self._parts_of_customers = {
             kind: self._of_customers(kind, part, now) for kind, part in self._parts.items()
         }
@@ -86,31 +86,31 @@
         """Return which part of what a customer asks of a kind is served now."""
         return self._parts_of_customers.get(kind, {}).get(customer, self.part(kind).part)
 
-    def may_begin(self, kind: str, customer: str) -> bool:
+    def may_start(self, kind: str, customer: str) -> bool:
         """Return whether it is a customer's turn; always where nothing binds its kind."""
         asker = self._askers.get(kind, {}).get(customer)
         return not self.part(kind).pool or asker is None or asker.saved >= 1.0
 
-    def begins(self, kind: str, customer: str) -> None:
+    def record_start(self, kind: str, customer: str) -> None:
         """Take a turn."""
         asker = self._askers.get(kind, {}).get(customer)
         if asker is not None:
             asker.saved = max(0.0, asker.saved - 1.0)
 
-    def rows(self) -> int:
+    def customer_count(self) -> int:
         """Return how many customers of kinds are held."""
         return sum(len(askers) for askers in self._askers.values())
 
     def _of_customers(self, kind, part, now):
         if not part.pool:
             return {}
-        asked = {name: row.asked.at_time(now) for name, row in self._askers[kind].items()}
-        return parts_of_customers(asked, part.part * sum(asked.values()))
+        requested = {name: row.requested.at_time(now) for name, row in self._askers[kind].items()}
+        return parts_of_customers(requested, part.part * sum(requested.values()))
 
     def _forget(self, now):
         for kind, askers in list(self._askers.items()):
             for customer, row in list(askers.items()):
-                if now - row.asked.at > _FORGOTTEN_SECONDS:
+                if now - row.requested.at > _FORGOTTEN_SECONDS:
                     del askers[customer]
             if not askers:
                 del self._askers[kind]
--- a/traystall/admission/shares.py
+++ b/traystall/admission/shares.py
@@ -24,7 +24,7 @@
 
 
 def parts_of_kinds(
-    asked: Mapping[str, Mapping[str, float]], rates: Mapping[str, float]
+    requested: Mapping[str, Mapping[str, float]], rates: Mapping[str, float]
 ) -> dict[str, KindPart]:
     """Return the part of each kind that the pools can serve.
 
@@ -35,28 +35,28 @@
     """
     found: dict[str, KindPart] = {}
     left = dict(rates)
-    open_kinds = {kind for kind in asked if any(asked[kind].values())}
+    open_kinds = {kind for kind in requested if any(requested[kind].values())}
     while open_kinds:
-        level, pool = _scarcest(asked, left, open_kinds)
+        level, pool = _scarcest(requested, left, open_kinds)
         if level >= _WHOLE:
             break
-        for kind in [kind for kind in open_kinds if asked[kind].get(pool, 0.0) > 0.0]:
+        for kind in [kind for kind in open_kinds if requested[kind].get(pool, 0.0) > 0.0]:
             found[kind] = KindPart(level, pool)
             open_kinds.discard(kind)
-            for name, rate in asked[kind].items():
+            for name, rate in requested[kind].items():
                 if name in left:
                     left[name] = max(0.0, left[name] - level * rate)
-    return {kind: found.get(kind, KindPart()) for kind in asked}
+    return {kind: found.get(kind, KindPart()) for kind in requested}
 
 
-def parts_of_customers(asked: Mapping[str, float], rate: float) -> dict[str, float]:
+def parts_of_customers(requested: Mapping[str, float], rate: float) -> dict[str, float]:
     """Return the part of what each customer asks that is served, `rate` in all.
 
     Who asks little gets all of it; what that leaves goes to the others alike.
     """
-    left, count = max(0.0, rate), len(asked)
+    left, count = max(0.0, rate), len(requested)
     parts: dict[str, float] = {}
-    for customer, wanted in sorted(asked.items(), key=lambda item: (item[1], item[0])):
+    for customer, wanted in sorted(requested.items(), key=lambda item: (item[1], item[0])):
         given = min(wanted, left / count)
         parts[customer] = given / wanted if wanted > 0.0 else 1.0
         left -= given
@@ -64,11 +64,11 @@
     return parts
 
 
-def _scarcest(asked, left, open_kinds) -> tuple[float, str]:
+def _scarcest(requested, left, open_kinds) -> tuple[float, str]:
     """Return the smallest part that a pool can serve of those kinds, and its name."""
     lowest, found = 1.0, ""
     for pool in sorted(left):
-        wanted = sum(asked[kind].get(pool, 0.0) for kind in open_kinds)
+        wanted = sum(requested[kind].get(pool, 0.0) for kind in open_kinds)
         if wanted > 0.0 and left[pool] / wanted < lowest:
             lowest, found = left[pool] / wanted, pool
     return lowest, found
--- a/traystall/control/daemon.py
+++ b/traystall/control/daemon.py
@@ -33,7 +33,7 @@
 from traystall.http.server import HttpServer
 from traystall.permits.permits import Permits
 from traystall.registry.follower import RegistryFollower
-from traystall.registry.memory import RegistryMemory
+from traystall.registry.persistence import RegistryPersistence
 from traystall.registry.service import RegistryService
 from traystall.registry.store import TargetStore
 from traystall.rpc.client import LinkIdentity, LinkPool
@@ -109,7 +109,7 @@
         self._background.start(subscribers.share_forever())
         self._background.start(self._orderer.run_forever())
         self._background.start(self._registry_follower.follow_forever())
-        self._background.start(self._memory.remember_forever())
+        self._background.start(self._memory.save_forever())
         self._background.start(self._reload_forever())
         if repair is not None:
             self._background.start(repair.lead_forever())
@@ -188,9 +188,9 @@
         follower.merge = self._merge_report
         # Revisions and evacuations come by the log; only what targets tell is of interest here.
         follower.number = follower.evacuation_version = lambda: _ANY_NUMBER
-        follower.saw = self.registry.registry.saw
+        follower.record_seen = self.registry.registry.record_seen
         self._registry_follower = follower
-        self._memory = RegistryMemory(self.registry, TargetStore(self._settings.data_folder))
+        self._memory = RegistryPersistence(self.registry, TargetStore(self._settings.data_folder))
 
     def _merge_report(self, report, seen_at):
         if self.registry.registry.merge(report, seen_at):
--- a/traystall/control/evacuation.py
+++ b/traystall/control/evacuation.py
@@ -7,7 +7,7 @@
 from traystall.core.exceptions import RpcRefused
 from traystall.core.logs import decision
 from traystall.core.serialization import pack
-from traystall.evacuations.held import to_wire
+from traystall.evacuations.cache import to_wire
 from traystall.evacuations.models import OrderEvacuation
 from traystall.rpc.gen.wire.ttypes import EvacuateReply, EvacuateRequest, EvacuationRecord
 
--- a/traystall/control/order_client.py
+++ b/traystall/control/order_client.py
@@ -9,10 +9,10 @@
 from traystall.core import clock
 from traystall.permits.exceptions import PermitDenied
 from traystall.permits.permits import Permits
-from traystall.systems.orders import EngineState, Loaded
-from traystall.systems.rests import RETRY_AFTER, TURNED_AWAY, rest_seconds
-from traystall.systems.target_limits import LIMIT, read_limit
-from traystall.tables.asked import Asked
+from traystall.systems.orders import EngineState, LoadedModel
+from traystall.systems.retry_after import RETRY_AFTER, SERVICE_UNAVAILABLE, parse_retry_after
+from traystall.systems.target_limits import LIMIT_HEADER, parse_limit
+from traystall.tables.availability import Availability
 from traystall.tables.entities import Target
 
 _STATE_TIMEOUT_SECONDS = 1.0
@@ -35,7 +35,7 @@
         self._may_order = may_order
         self._permits = permits
         # What targets have asked of this daemon, by address.
-        self._asked: dict[str, Asked] = {}
+        self._asked: dict[str, Availability] = {}
         # No connection is kept, so that the client never resends an order by itself.
         self._session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(force_close=True))
 
@@ -84,9 +84,9 @@
             return type(error).__name__
 
     def _rests(self, target):
-        asked = self._asked.get(target.address)
-        if asked is None or asked.rests(clock.monotonic()):
-            return asked is not None
+        availability = self._asked.get(target.address)
+        if availability is None or availability.is_backing_off(clock.monotonic()):
+            return availability is not None
         del self._asked[target.address]
         return False
 
@@ -104,22 +104,22 @@
     def _note(self, target, response, sent_at, is_work=False):
         """Take in what a target asks for: orders and questions wait as well."""
         self._note_limit(target, response, sent_at, is_work)
-        if response.status != TURNED_AWAY:
+        if response.status != SERVICE_UNAVAILABLE:
             return
-        seconds = rest_seconds(
+        seconds = parse_retry_after(
             response.headers.getall(RETRY_AFTER, []), response.headers.get("Date")
         )
         if seconds:
-            asked = self._asked.setdefault(target.address, Asked())
-            asked.ask_rest(seconds, "", clock.monotonic())
+            availability = self._asked.setdefault(target.address, Availability())
+            availability.request_backoff(seconds, "", clock.monotonic())
 
     def _note_limit(self, target, response, sent_at, is_work):
         """Take in a limit; only an answer to work that is no failure shows that one has ended."""
-        word = read_limit(response.headers.getall(LIMIT, []))
+        word = parse_limit(response.headers.getall(LIMIT_HEADER, []))
         if word is None:
             return
         if word.per_second is not None or (is_work and response.status < _FAILURES):
-            self._permits.hear(_life(target), word, sent_at, "")
+            self._permits.observe_answer(_life(target), word, sent_at, "")
 
     async def _body_under_lease(self, data: bytes, term: int) -> AsyncIterator[bytes]:
         """Yield the body only if the lease still holds at the moment of writing.
@@ -138,4 +138,4 @@
 
 
 def _loaded(items):
-    return frozenset(Loaded(item["name"], item["version"]) for item in items)
+    return frozenset(LoadedModel(item["name"], item["version"]) for item in items)
--- a/traystall/control/orders.py
+++ b/traystall/control/orders.py
@@ -12,8 +12,8 @@
 from traystall.systems.orders import (
     LoadBudget,
     Order,
+    earliest_order_time,
     plan,
-    wait_before_orders,
 )
 from traystall.tables.configuration import ConfigurationTables
 from traystall.tables.entities import Kind
@@ -68,7 +68,7 @@
         models = tables.models()
         if not models:
             return
-        self._permits.note_serving()
+        self._permits.refresh_lenders()
         client = self._open_client()
         engines = [t for t in tables.targets() if t.kind is Kind.ENGINE]
         found = await asyncio.gather(*(client.observe(target) for target in engines))
@@ -89,7 +89,7 @@
         term, elected_at = self._elected
         if not target.fencing:
             lease = self._node.replica.timing.lease
-            if clock.monotonic() < wait_before_orders(elected_at, lease, policy.order_timeout):
+            if clock.monotonic() < earliest_order_time(elected_at, lease, policy.order_timeout):
                 return
         sequence = next(self._sequence)
         body = {
--- a/traystall/control/subscribers.py
+++ b/traystall/control/subscribers.py
@@ -9,7 +9,7 @@
 from traystall.control.node import Node
 from traystall.core import clock
 from traystall.core.exceptions import RpcError, RpcRefused
-from traystall.evacuations.held import to_wire
+from traystall.evacuations.cache import to_wire
 from traystall.quarantine.wire import to_wire as to_suspects
 from traystall.rpc.client import LinkPool
 from traystall.rpc.copies import CopySource
--- a/traystall/control/suspects.py
+++ b/traystall/control/suspects.py
@@ -13,7 +13,7 @@
     EndedRun,
     LiftSuspect,
     ReportRuns,
-    SuspectNews,
+    SuspectUpdate,
 )
 from traystall.rpc.gen.wire import ttypes
 
@@ -43,7 +43,7 @@
         """Answer whether a suspect may be sent now."""
         command = BeginTrial(request.digest, request.trial, clock.wall())
         result = await self._node.propose(pack(command), _COMMIT_TIMEOUT)
-        self._log(result.news)
+        self._log(result.updates)
         decision("trial", suspect=request.digest.hex(), verdict=result.verdict.value)
         return ttypes.TrialReply(verdict=result.verdict.value, seconds=result.seconds)
 
@@ -53,12 +53,12 @@
         if self._operator_token and not hmac.compare_digest(token, self._operator_token):
             raise RpcRefused("forbidden", "Operators' calls need the cluster's operator token.")
         command = LiftSuspect(request.digest or b"", request.operator or "", clock.wall())
-        news = await self._node.propose(pack(command), _COMMIT_TIMEOUT)
-        self._log(news)
-        return ttypes.LiftReply(lifted=bool(news))
+        updates = await self._node.propose(pack(command), _COMMIT_TIMEOUT)
+        self._log(updates)
+        return ttypes.LiftReply(lifted=bool(updates))
 
-    def _log(self, news: Iterable[SuspectNews]):
-        for one in news:
+    def _log(self, updates: Iterable[SuspectUpdate]):
+        for one in updates:
             decision(
                 f"suspect-{one.event.value}",
                 suspect=one.digest.hex(),
--- a/traystall/control/targets_api.py
+++ b/traystall/control/targets_api.py
@@ -12,7 +12,7 @@
 from traystall.http.messages import Response, json_response
 from traystall.http.request import Request
 from traystall.http.router import Router
-from traystall.registry.models import MOST_STARTED, RegisteredState, TargetReport
+from traystall.registry.models import MAX_START_MS, RegisteredState, TargetReport
 from traystall.registry.service import RegistryService
 
 _MAX_BODY_BYTES = 64 * 1024
@@ -29,7 +29,7 @@
     state: RegisteredState = RegisteredState.READY
     sequence: int = 0
     warming: float = 0.0
-    started: Annotated[int, msgspec.Meta(ge=0, le=MOST_STARTED)] = 0
+    started: Annotated[int, msgspec.Meta(ge=0, le=MAX_START_MS)] = 0
 
 
 def add_target_calls(router: Router, registry: RegistryService) -> None:
--- a/traystall/evacuations/held.py
+++ b/traystall/evacuations/cache.py
@@ -4,11 +4,11 @@
 
 from traystall.core import metrics
 from traystall.core.logs import decision
-from traystall.evacuations.models import EvacuatedPlaces
+from traystall.evacuations.models import EvacuatedDataCentres
 from traystall.rpc.gen.wire.ttypes import Evacuated
 
 
-class HeldEvacuations:
+class EvacuationCache:
     """Hold the evacuated data centres; `take` moves forward only.
 
     A control daemon that was cut off, or has just started, tells of a lower
@@ -16,8 +16,8 @@
     """
 
     def __init__(self):
-        self.places = EvacuatedPlaces()
-        self.on_change: list[Callable[[EvacuatedPlaces, EvacuatedPlaces], None]] = []
+        self.places = EvacuatedDataCentres()
+        self.on_change: list[Callable[[EvacuatedDataCentres, EvacuatedDataCentres], None]] = []
 
     @property
     def version(self) -> int:
@@ -43,11 +43,11 @@
         return True
 
 
-def to_wire(places: EvacuatedPlaces) -> Evacuated:
+def to_wire(places: EvacuatedDataCentres) -> Evacuated:
     """Return what is evacuated as a wire message."""
     return Evacuated(version=places.version, data_centres=sorted(places.data_centres))
 
 
-def from_wire(told: Evacuated) -> EvacuatedPlaces:
+def from_wire(told: Evacuated) -> EvacuatedDataCentres:
     """Return a wire message as what is evacuated."""
-    return EvacuatedPlaces(told.version or 0, frozenset(told.data_centres or ()))
+    return EvacuatedDataCentres(told.version or 0, frozenset(told.data_centres or ()))
--- a/traystall/evacuations/models.py
+++ b/traystall/evacuations/models.py
@@ -24,7 +24,7 @@
     since: float
 
 
-class EvacuatedPlaces(msgspec.Struct, frozen=True):
+class EvacuatedDataCentres(msgspec.Struct, frozen=True):
     """Name the evacuated data centres at a version; a higher version replaces all of this."""
 
     version: int = 0
@@ -35,4 +35,4 @@
     """Answer an order: whether it changed anything, and what is evacuated after it."""
 
     changed: bool
-    places: EvacuatedPlaces
+    places: EvacuatedDataCentres
--- a/traystall/evacuations/state.py
+++ b/traystall/evacuations/state.py
@@ -8,7 +8,7 @@
 
 from traystall.core.serialization import pack, unpack
 from traystall.evacuations.models import (
-    EvacuatedPlaces,
+    EvacuatedDataCentres,
     Evacuation,
     EvacuationResult,
     OrderEvacuation,
@@ -27,7 +27,7 @@
 
     def __init__(self):
         self._evacuations: dict[str, Evacuation] = {}
-        self.places = EvacuatedPlaces()
+        self.places = EvacuatedDataCentres()
 
     def order(self, command: OrderEvacuation) -> EvacuationResult:
         """Carry out one order."""
@@ -58,4 +58,4 @@
         self._set_places(held.version)
 
     def _set_places(self, version):
-        self.places = EvacuatedPlaces(version, frozenset(self._evacuations))
+        self.places = EvacuatedDataCentres(version, frozenset(self._evacuations))
--- a/traystall/gateway/allowances.py
+++ b/traystall/gateway/allowances.py
@@ -40,13 +40,13 @@
             after = admission.retry_after_seconds(verdict.retry_after)
             raise Refusal(problems.OVER_LIMIT, verdict.why, after)
 
-    def lend(self, name: str, wanted: Loan) -> Loan:
+    def grant(self, name: str, wanted: Loan) -> Loan:
         """Return what a neighbour may have of a customer's part here."""
         customer = self._context.tables.customer(name)
         if customer is None:
             return Loan()
         index, count = self._position(customer)
-        return self._context.limiter.lend(customer, index, count, clock.monotonic(), wanted)
+        return self._context.limiter.grant(customer, index, count, clock.monotonic(), wanted)
 
     def _try(self, customer, seconds):
         index, count = self._position(customer)
@@ -55,10 +55,10 @@
     def _position(self, customer: Customer) -> tuple[int, int]:
         context = self._context
         places = context.tables.data_centres()
-        index = limits.position_inside(
+        index = limits.gateway_position(
             customer, places, context.data_centre, context.settings.index
         )
-        return index, limits.gateways_inside(customer, places)
+        return index, limits.count_gateways(customer, places)
 
     async def _borrow(self, customer) -> bool:
         """Ask the neighbours in turn; return whether one of them had something."""
--- a/traystall/gateway/configuration.py
+++ b/traystall/gateway/configuration.py
@@ -9,10 +9,10 @@
 from traystall.core import clock, metrics
 from traystall.core.exceptions import DeltaMismatch, RpcError
 from traystall.core.logs import decision
-from traystall.evacuations.held import HeldEvacuations, to_wire
+from traystall.evacuations.cache import EvacuationCache, to_wire
 from traystall.gateway.directory import FollowedDirectory
 from traystall.gateway.transfer import CopyFetcher
-from traystall.quarantine.held import HeldSuspects
+from traystall.quarantine.cache import SuspectCache
 from traystall.rpc.client import LinkPool
 from traystall.rpc.copies import CopySource, fill_reply
 from traystall.rpc.gen.wire.ttypes import (
@@ -95,8 +95,8 @@
         describe: Callable[[], GatewayRecord],
     ):
         self.held = HeldRevision()
-        self.evacuations = HeldEvacuations()
-        self.suspects = HeldSuspects()
+        self.evacuations = EvacuationCache()
+        self.suspects = SuspectCache()
         self.on_change: list[Callable[[], None]] = []
         self._links = links
         self._controls = controls
@@ -114,7 +114,7 @@
         return self._directory.rows
 
     @property
-    def newest_number(self) -> int:
+    def newest_revision(self) -> int:
         """Return the number of the revision that is held or being fetched."""
         return max(self.held.number, self._fetcher.number)
 
--- a/traystall/gateway/context.py
+++ b/traystall/gateway/context.py
@@ -17,7 +17,7 @@
 from traystall.systems.estimates import TimeTable
 from traystall.systems.limits import Limiter
 from traystall.systems.membership import PresenceReport
-from traystall.systems.place import is_allowed
+from traystall.systems.residency import is_allowed
 from traystall.systems.retries import RetryBudget
 from traystall.tables.configuration import ConfigurationTables
 from traystall.tables.entities import PriorityClass
@@ -87,7 +87,7 @@
         now = clock.monotonic()
         for row in self.targets.all():
             speeds.decay(row, now)
-            loads.fold_quick(row, now)
+            loads.sample_quick_load(row, now)
         review_rests(self.targets.all(), self._resting)
         self._deal_shares()
         self.dispatcher.assign_all()
@@ -137,10 +137,10 @@
         targets = [row.target for row in rows]
         quick_slots = sum(row.quick_load for row in rows) * max(1, len(gateways))
         has_quick_work = targets[0].pool in self._quick_pools
-        kept = shares.kept_targets(targets, has_quick_work, quick_slots)
-        dealt = shares.deal(targets, gateways, self.identity, kept)
+        kept = shares.reserved_targets(targets, has_quick_work, quick_slots)
+        dealt = shares.divide_slots(targets, gateways, self.identity, kept)
         for row in rows:
             share = dealt[row.target.name]
             row.share = share.bulk
-            row.keeps_quick_slot = share.kept
+            row.reserves_quick_slot = share.kept
             row.may_exceed_share = not has_quick_work
--- a/traystall/gateway/daemon.py
+++ b/traystall/gateway/daemon.py
@@ -19,7 +19,7 @@
 from traystall.gateway.relay import Relay
 from traystall.gateway.service import GatewayService
 from traystall.gateway.settings import SETTINGS, check_gateway
-from traystall.permits.news import LimitTeller
+from traystall.permits.broadcast import LimitBroadcaster
 from traystall.quarantine.digests import make_key
 from traystall.quarantine.guard import RequestGuard
 from traystall.rpc.client import LinkIdentity, LinkPool
@@ -77,14 +77,14 @@
         self._background.start(guard.reports.send_forever())
         self._background.start(PresenceWatcher(self._context).watch_forever())
         context = self._context
-        teller = LimitTeller(
+        teller = LimitBroadcaster(
             context.permits,
             self._links,
             lambda: self._follower.directory,
             context.data_centre_of,
             context.lives,
         )
-        self._background.start(teller.tell_forever())
+        self._background.start(teller.run_forever())
         logger.info("started", extra={"identity": self._identity})
 
     async def until_stopped(self, stopping: asyncio.Event) -> None:
@@ -92,7 +92,7 @@
         await daemon.first_of(stopping, self._background.failed)
         logger.info("draining", extra={"in_flight": self._front.in_flight})
         self._state = "draining"
-        self._context.permits.may_lend = False
+        self._context.permits.may_grant = False
         self._front.draining = True
         await asyncio.sleep(self._settings.drain_notice)
         await self._site.stop()
--- a/traystall/gateway/dispatch.py
+++ b/traystall/gateway/dispatch.py
@@ -66,10 +66,12 @@
             self.waits.record(pool, clock.monotonic() - waiter.since)
             self._forget(waiter)
 
-    def release(self, row: TargetRow, priority: PriorityClass, is_first: bool = False) -> None:
+    def release(
+        self, row: TargetRow, priority: PriorityClass, is_recovery_attempt: bool = False
+    ) -> None:
         """Give a slot back and hand it to whoever waits; `is_first` as the waiter had it."""
-        row.asked.on_over(is_first)
-        row.give_back(priority)
+        row.availability.on_finished(is_recovery_attempt)
+        row.release_slot(priority)
         self.assign(row.target.pool)
 
     def assign(self, pool: str) -> None:
@@ -111,7 +113,7 @@
             self._assign_after_rest(waiter.stage.pool, found, now)
             return
         choice.row.take(waiter.priority)
-        waiter.is_first = choice.row.asked.on_sent()
+        waiter.is_recovery_attempt = choice.row.availability.on_sent()
         breakers.on_sent(choice.row.breaker)
         self._fair.charge(waiter.customer)
         decision(
@@ -149,7 +151,7 @@
         if grant.done() and not grant.cancelled() and grant.exception() is None:
             row = grant.result()
             breakers.on_abandoned(row.breaker)
-            self.release(row, waiter.priority, waiter.is_first)
+            self.release(row, waiter.priority, waiter.is_recovery_attempt)
 
     def _forget(self, waiter):
         waiters = self._waiters[waiter.stage.pool]
--- a/traystall/gateway/front.py
+++ b/traystall/gateway/front.py
@@ -15,7 +15,7 @@
 from traystall.gateway.relay import Relay
 from traystall.gateway.runner import RequestRunner
 from traystall.systems import admission
-from traystall.systems.place import is_allowed
+from traystall.systems.residency import is_allowed
 from traystall.tables.requests import RequestRow, RunState
 
 MAX_EXPLAINED = 2000
--- a/traystall/gateway/learning.py
+++ b/traystall/gateway/learning.py
@@ -23,8 +23,8 @@
         now = clock.monotonic()
         times = self._times(run, now)
         limited = self._context.dispatcher.waiting(run.stage.pool) > 0
-        windows.on_time(target, seconds, times.quantile(deadlines.OPTIMISTIC), limited)
-        speeds.on_time(target, seconds, times.quantile(deadlines.TYPICAL), now)
+        windows.on_duration(target, seconds, times.quantile(deadlines.OPTIMISTIC), limited)
+        speeds.on_duration(target, seconds, times.quantile(deadlines.TYPICAL), now)
         times.record(seconds, now)
         breakers.on_success(target.breaker)
         self._context.retry_budget.on_success()
@@ -68,11 +68,13 @@
         elapsed = now - run.attempt_started
         speeds.on_overdue(target, elapsed, typical, now)
         # A deadline that came early says nothing of the target: slowness is not failure.
-        if not (error.timed_out and speeds.is_usual(elapsed, typical)):
+        if not (error.timed_out and speeds.is_within_usual_time(elapsed, typical)):
             self._break(target, now)
         return FailureKind.DOUBT
 
-    def is_hopeless(self, run: StageRun, target: TargetRow, started_at: float, index: int) -> bool:
+    def will_miss_deadline(
+        self, run: StageRun, target: TargetRow, started_at: float, index: int
+    ) -> bool:
         """Learn from the pace of tokens; return whether the rest can't come in time."""
         now = clock.monotonic()
         elapsed = now - started_at
@@ -82,7 +84,7 @@
         times = self._times(run, now)
         if done == deadlines.MIN_TOKENS_OF_EVIDENCE:
             speeds.on_overdue(target, projected, times.quantile(deadlines.TYPICAL), now)
-        if not deadlines.is_hopeless(elapsed, done, left, run.run_until - now):
+        if not deadlines.will_miss_deadline(elapsed, done, left, run.run_until - now):
             return False
         # What is given up counts as well: else only the fast ones would be remembered.
         times.record(projected, now)
--- a/traystall/gateway/lookups.py
+++ b/traystall/gateway/lookups.py
@@ -13,7 +13,7 @@
 from traystall.gateway.context import GatewayContext
 from traystall.gateway.news import note_asked, note_limit
 from traystall.permits.exceptions import PermitDenied
-from traystall.systems.place import is_allowed
+from traystall.systems.residency import is_allowed
 from traystall.tables.entities import Stage
 from traystall.tables.requests import RequestRow
 
@@ -41,7 +41,7 @@
 
     async def _ask(self, target, key):
         row = self._context.targets.get(target.name)
-        if row is not None and row.asked.rests(clock.monotonic()):
+        if row is not None and row.availability.is_backing_off(clock.monotonic()):
             return None
         try:
             if row is not None:
--- a/traystall/gateway/news.py
+++ b/traystall/gateway/news.py
@@ -6,8 +6,8 @@
 from traystall.core.logs import decision
 from traystall.permits.permits import Permits
 from traystall.systems import membership
-from traystall.systems.rests import RETRY_AFTER, TURNED_AWAY, rest_seconds
-from traystall.systems.target_limits import LIMIT, read_limit
+from traystall.systems.retry_after import RETRY_AFTER, SERVICE_UNAVAILABLE, parse_retry_after
+from traystall.systems.target_limits import LIMIT_HEADER, parse_limit
 from traystall.tables.targets import TargetRow
 
 # Status of an answer by which a target limits how often it is asked.
@@ -34,12 +34,12 @@
 
 def note_asked(target: TargetRow, status: int, headers: Mapping, request: str = "") -> None:
     """Take in what the head of any answer of a target asks for."""
-    if status not in (TURNED_AWAY, _TOO_MANY):
+    if status not in (SERVICE_UNAVAILABLE, _TOO_MANY):
         return
     now = clock.monotonic()
-    seconds = rest_seconds(headers.getall(RETRY_AFTER, []), headers.get("Date"))
-    was_resting = target.asked.rests(now)
-    if seconds and target.asked.ask_rest(seconds, request, now) and not was_resting:
+    seconds = parse_retry_after(headers.getall(RETRY_AFTER, []), headers.get("Date"))
+    was_resting = target.availability.is_backing_off(now)
+    if seconds and target.availability.request_backoff(seconds, request, now) and not was_resting:
         metrics.rests_total.inc({"pool": target.target.pool})
         decision("target-rests", target=target.target.name, seconds=seconds, request=request)
 
@@ -58,19 +58,19 @@
     Only an answer to work that is no failure shows that one has ended; `sent_at` is when the
     request left.
     """
-    values = headers.getall(LIMIT, [])
-    if not values and not target.limit.was_named:
+    values = headers.getall(LIMIT_HEADER, [])
+    if not values and not target.limit.has_been_limited:
         return
-    word = read_limit(values)
+    word = parse_limit(values)
     if word is None or (word.per_second is None and not (is_work and status < _FAILURES)):
         return
-    permits.hear(target.life, word, sent_at, request)
+    permits.observe_answer(target.life, word, sent_at, request)
 
 
 def review_rests(targets: Iterable[TargetRow], resting: set[str]) -> None:
     """Log the rests that are over; `resting` holds the names of those that rest between calls."""
     now = clock.monotonic()
-    found = {row.target.name for row in targets if row.asked.rests(now)}
+    found = {row.target.name for row in targets if row.availability.is_backing_off(now)}
     for name in sorted(resting - found):
         decision("target-rested", target=name)
     resting.clear()
--- a/traystall/gateway/presence.py
+++ b/traystall/gateway/presence.py
@@ -9,7 +9,7 @@
 from traystall.gateway.news import note_asked, note_limit, note_presence
 from traystall.permits.exceptions import PermitDenied
 from traystall.systems.membership import PresenceReport
-from traystall.systems.owners import owned
+from traystall.systems.probe_assignment import assigned_targets
 
 _ROUND_SECONDS = 1.0
 _ASK_SECONDS = 0.8
@@ -55,10 +55,10 @@
         here = context.data_centre
         rows = [row for row in context.targets.all() if row.target.data_centre == here]
         gateways = [g.identity for g in context.follower.directory if g.data_centre == here]
-        names = owned([row.target.name for row in rows], gateways, context.identity)
+        names = assigned_targets([row.target.name for row in rows], gateways, context.identity)
         now = clock.monotonic()
-        asked = [row for row in rows if not row.asked.rests(now)]
-        return [self._ask(row) for row in asked if row.target.name in names]
+        availability = [row for row in rows if not row.availability.is_backing_off(now)]
+        return [self._ask(row) for row in availability if row.target.name in names]
 
     async def _ask(self, row):
         context = self._context
--- a/traystall/gateway/relay.py
+++ b/traystall/gateway/relay.py
@@ -14,7 +14,7 @@
 from traystall.gateway.context import GatewayContext
 from traystall.gateway.parsing import DEADLINE_HEADER, RELAYED_HEADER, Envelope
 from traystall.gateway.problems import Refusal
-from traystall.systems.place import may_relay, relay_candidates
+from traystall.systems.residency import may_relay, relay_candidates
 from traystall.tables.requests import RunState
 
 _CONNECT_SECONDS = 0.5
--- a/traystall/gateway/runner.py
+++ b/traystall/gateway/runner.py
@@ -24,7 +24,7 @@
     ReleaseRequest,
     SettleRequest,
 )
-from traystall.systems.place import holder_candidates, is_allowed
+from traystall.systems.residency import holder_candidates, is_allowed
 from traystall.tables.requests import RequestRow, RunState, StageRecord
 
 # Claimed work goes on this long after its caller has had an answer, in seconds.
@@ -63,7 +63,7 @@
             await self._close_claim(row, refusal)
             raise
         finally:
-            self._context.guard.over(guarded)
+            self._context.guard.on_finished(guarded)
 
     async def _run_stages(self, row, body, on_token, guarded):
         results: dict[str, dict] = {}
@@ -164,7 +164,7 @@
         if result is None:
             return None
         decision("claim-settled-by-target", request=row.request_id, stage=stage.name)
-        row.take_over(reply.claim_id)
+        row.adopt_claim(reply.claim_id)
         return result
 
     def _require_window(self, row, ends_at):
--- a/traystall/gateway/service.py
+++ b/traystall/gateway/service.py
@@ -6,7 +6,7 @@
 from traystall.gateway.context import GatewayContext
 from traystall.rpc.gen.wire import ttypes
 from traystall.systems.limits import Loan
-from traystall.systems.place import is_allowed
+from traystall.systems.residency import is_allowed
 
 
 class GatewayService:
@@ -21,9 +21,9 @@
             ttypes.WatchRequest: self._watch,
             ttypes.TransferRequest: self._transfer,
             ttypes.BorrowRequest: self._lend,
-            ttypes.PermitRequest: context.permits.lend,
-            ttypes.PermitReturn: context.permits.take_back,
-            ttypes.LimitNews: context.permits.take_news,
+            ttypes.PermitRequest: context.permits.grant,
+            ttypes.PermitReturn: context.permits.on_permit_returned,
+            ttypes.LimitNews: context.permits.merge_limits,
         }
 
     async def handle(self, request):
@@ -58,7 +58,7 @@
 
     def _lend(self, request):
         wanted = Loan(request.tokens, request.permits)
-        loan = self._allowances.lend(request.customer, wanted)
+        loan = self._allowances.grant(request.customer, wanted)
         return ttypes.BorrowReply(tokens=loan.tokens, permits=loan.permits, seconds=loan.seconds)
 
     def _watch(self, request):
--- a/traystall/gateway/stage_run.py
+++ b/traystall/gateway/stage_run.py
@@ -23,7 +23,7 @@
     resumed_from: int = 0
     attempt_started: float = 0.0
     # Whether the current attempt is one of the first after a rest of its target.
-    is_first: bool = False
+    is_recovery_attempt: bool = False
     # What allows the current attempt to be sent to a target that names a limit.
     permit: Permit | None = None
     excluded: set[str] = msgspec.field(default_factory=set)
--- a/traystall/gateway/stages.py
+++ b/traystall/gateway/stages.py
@@ -22,10 +22,10 @@
 from traystall.gateway.problems import Refusal
 from traystall.gateway.stage_run import StageRun
 from traystall.permits.exceptions import PermitDenied
-from traystall.quarantine.ends import WatchedTarget
+from traystall.quarantine.ends import TargetIncarnation
 from traystall.systems import admission, breakers, deadlines, membership, retries
-from traystall.systems.place import is_allowed
 from traystall.systems.queues import Waiter
+from traystall.systems.residency import is_allowed
 from traystall.tables.entities import Kind
 from traystall.tables.targets import TargetRow, TargetState
 
@@ -101,7 +101,7 @@
         )
         try:
             target = await self._context.dispatcher.acquire(waiter)
-            run.is_first = waiter.is_first
+            run.is_recovery_attempt = waiter.is_recovery_attempt
             return target
         except NoCandidate as error:
             raise Refusal(problems.NO_TARGET, f"Stage {stage.name}: {error}", 2) from error
@@ -167,7 +167,7 @@
                 self._context.permits.give_back(run.permit)
             run.permit = None
             breakers.on_abandoned(target.breaker)
-            self._context.dispatcher.release(target, row.priority, run.is_first)
+            self._context.dispatcher.release(target, row.priority, run.is_recovery_attempt)
 
     async def _take_permit(self, run, target):
         """Take what a target that names a limit for all gateways lends, and wait for its moment.
@@ -196,7 +196,7 @@
     def _call(self, run, target, now) -> Call:
         row = run.row
         context = self._context
-        after = deadlines.least_time(context.times, row.pipeline, run.index + 1, now)
+        after = deadlines.minimum_time(context.times, row.pipeline, run.index + 1, now)
         budget = run.run_until - after - now
         if run.repeatable and run.stage.kind is not Kind.ENGINE:
             budget = min(
@@ -224,7 +224,7 @@
 
         What the target has asked for is looked at again: it may have come after the choice.
         """
-        if target.asked.rests(clock.monotonic()):
+        if target.availability.is_backing_off(clock.monotonic()):
             self._hold_back(target, "sending", "it has asked for rest")
         if not self._context.permits.covers(target.life, run.permit):
             self._hold_back(target, "limit", "it takes so many from all gateways")
@@ -235,7 +235,7 @@
     def _on_token(self, run, target, started_at, index, text):
         """Pass a token on; learn from the pace, and give up if the rest can't come in time."""
         run.on_token(index, text)
-        if self._learner.is_hopeless(run, target, started_at, index):
+        if self._learner.will_miss_deadline(run, target, started_at, index):
             raise Refusal(problems.TOO_LATE, f"Stage {run.stage.name} is too slow to finish.")
 
     def _on_head(self, run, target, status, headers):
@@ -251,7 +251,7 @@
         permits = self._context.permits
         note_limit(permits, target, status, headers, run.attempt_started, request)
         if status < _FAILURES:
-            target.asked.on_answer(clock.monotonic())
+            target.availability.on_answer(clock.monotonic())
 
     # ---- after a failure ----
 
@@ -266,8 +266,8 @@
         def evidence():
             return "it has started again" if target.incarnation != incarnation else ""
 
-        watched = WatchedTarget(life, target.target.address, target.target.pool, evidence)
-        self._context.guard.ends.on_broken(watched, run.guarded)
+        watched = TargetIncarnation(life, target.target.address, target.target.pool, evidence)
+        self._context.guard.ends.on_connection_broken(watched, run.guarded)
 
     def _after_failure(self, run, target, error, attempts):
         """Learn from a failed attempt; return to try again, or raise Refusal."""
--- a/traystall/passthrough/admission/budget.py
+++ b/traystall/passthrough/admission/budget.py
@@ -14,7 +14,7 @@
 _SAFETY = 0.7
 
 
-class BudgetRule(msgspec.Struct, frozen=True):
+class RepeatBudgetRule(msgspec.Struct, frozen=True):
     """Allow `ratio` x requests + `slack` repeats of a pool in any `window` seconds."""
 
     ratio: float = 0.2
@@ -25,7 +25,7 @@
 class RepeatBudget:
     """Count the requests and repeats of one pool at one gateway."""
 
-    def __init__(self, rule: BudgetRule):
+    def __init__(self, rule: RepeatBudgetRule):
         self._rule = rule
         self._requests: deque[float] = deque()
         self._repeats: deque[float] = deque()
@@ -35,7 +35,7 @@
         self._requests.append(now)
         self._expire(now)
 
-    def take(self, now: float, gateways: int, count: int = 1) -> bool:
+    def try_consume(self, now: float, gateways: int, count: int = 1) -> bool:
         """Count repeats if they are allowed; return whether they are."""
         self._expire(now)
         if len(self._repeats) + count > self.allowance(gateways):
--- a/traystall/passthrough/admission/book.py
+++ b/traystall/passthrough/admission/controller.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from traystall.admission.demand import Demand
+from traystall.admission.demand import DemandTracker
 from traystall.passthrough.admission.calibration import ForecastError
 from traystall.passthrough.admission.crowding import Crowding
 from traystall.passthrough.admission.forecast import (
@@ -56,7 +56,7 @@
 _FORGET_SECONDS = 0.2
 
 
-class Arrival(msgspec.Struct, frozen=True):
+class AdmissionRequest(msgspec.Struct, frozen=True):
     """Describe a request that wants to begin.
 
     `slack` is how long it may wait and still be in time, `seconds_left` until
@@ -89,7 +89,7 @@
         return wanted
 
 
-class Verdict(msgspec.Struct, frozen=True):
+class AdmissionDecision(msgspec.Struct, frozen=True):
     """Hold a decision; `retry_after` is set where it is a refusal, in seconds."""
 
     admitted: bool
@@ -101,12 +101,12 @@
     binding: str = ""
     # How long it would have to wait until it might be let in, and whether its pools are shared by
     # parts: only there it is known.
-    seconds_to_turn: float = 0.0
+    seconds_to_admission: float = 0.0
     shared: bool = False
 
 
 class _Chain(msgspec.Struct):
-    arrival: Arrival
+    arrival: AdmissionRequest
     since: float
     wait: float
     # By stage, what its pool expects of it until it is asked for.
@@ -114,7 +114,7 @@
     done: set[int] = msgspec.field(default_factory=set)
 
 
-class AdmissionBook:
+class AdmissionController:
     """Hold the requests that have begun their stages."""
 
     def __init__(self):
@@ -127,31 +127,31 @@
         self._forgot_at = float("-inf")
         # By kind, what its requests take beyond their forecasts.
         self._errors: dict[str, ForecastError] = {}
-        self.demand = Demand()
+        self.demand = DemandTracker()
         self._crowding = Crowding(self.demand, self._forecast)
         self._handover = Handover()
 
     def admit(
         self,
-        arrival: Arrival,
+        arrival: AdmissionRequest,
         loads: dict[str, PoolLoad],
         now: float,
         shared_pools: frozenset[str] = frozenset(),
-    ) -> Verdict:
+    ) -> AdmissionDecision:
         """Decide on a request by the `loads` of its pools; one that has begun is let through.
 
         At `shared_pools` what should begin sooner goes first, each kind and customer gets its
         part, and forecasts are corrected by how requests of a kind have fared.
         """
         if arrival.request_id in self._chains:
-            return Verdict(True, 0.0)
+            return AdmissionDecision(True, 0.0)
         self._forget(now)
         self._fade(now)
         if shared_pools.intersection(loads):
             return self._admit_by_parts(arrival, loads, now, shared_pools)
         return self._admit_by_aim(arrival, loads, now)
 
-    def _admit_by_aim(self, arrival, loads, now) -> Verdict:
+    def _admit_by_aim(self, arrival, loads, now) -> AdmissionDecision:
         """Let a request in that waits no longer than some part of its aim."""
         stages, priority = arrival.route.stages, arrival.priority
         raw_wait = chain_wait(stages, arrival.counts, priority, loads, self._forecast, now)
@@ -159,16 +159,16 @@
         came_back = arrival.mark in self._refused
         limit = _limit(arrival) * (_RETURN_PART if came_back else 1.0)
         if wait > limit:
-            return Verdict(False, wait, _retry_after(arrival, wait), came_back)
+            return AdmissionDecision(False, wait, _retry_after(arrival, wait), came_back)
         self._begin(arrival, raw_wait, loads, now)
-        return Verdict(True, wait)
+        return AdmissionDecision(True, wait)
 
-    def _admit_by_parts(self, arrival, loads, now, shared_pools) -> Verdict:
+    def _admit_by_parts(self, arrival, loads, now, shared_pools) -> AdmissionDecision:
         """Let a request in that can be in time, if it is its customer's turn."""
         if arrival.has_begun:
             # It began where another gateway batched: what it holds would be lost.
             self._begin(arrival, 0.0, loads, now, arrival.slack)
-            return Verdict(True, 0.0, shared=True)
+            return AdmissionDecision(True, 0.0, shared=True)
         loads = self._handover.add_to(loads, now)
         route, slack = arrival.route, arrival.slack
         error = self._error(route.name).for_slack(slack, now)
@@ -180,11 +180,11 @@
         beyond = wait - max(slack, _LEAST_WAIT)
         kind, customer = route.name, arrival.customer
         part, binding = self.demand.part_of(kind, customer), self.demand.part(kind).pool
-        if beyond <= 0.0 and self.demand.may_begin(kind, customer):
-            self.demand.begins(kind, customer)
+        if beyond <= 0.0 and self.demand.may_start(kind, customer):
+            self.demand.record_start(kind, customer)
             self._begin(arrival, raw_wait, loads, now, slack)
-            return Verdict(True, wait, part=part, binding=binding, shared=True)
-        return Verdict(
+            return AdmissionDecision(True, wait, part=part, binding=binding, shared=True)
+        return AdmissionDecision(
             False,
             wait,
             _retry_after(arrival, wait),
@@ -192,11 +192,11 @@
             part,
             binding,
             # While others come a queue empties slowly, and a turn comes only to who asks anew.
-            seconds_to_turn=beyond * _RETRY_FACTOR if beyond > 0.0 else math.inf,
+            seconds_to_admission=beyond * _RETRY_FACTOR if beyond > 0.0 else math.inf,
             shared=True,
         )
 
-    def take_over(self, waits: dict[str, float], age: float, now: float) -> None:
+    def merge_peer_waits(self, waits: dict[str, float], age: float, now: float) -> None:
         """Take in what somebody was told `age` seconds ago by the gateway that batched before."""
         self._handover.told(waits, age, now)
 
@@ -204,11 +204,11 @@
         """Return how long the queues of shared pools are, in seconds by pool."""
         return self._crowding.waits(now)
 
-    def refuse(self, mark: str, now: float) -> None:
+    def record_refusal(self, mark: str, now: float) -> None:
         """Note that a request was refused for good; it is known when it comes back."""
         self._refused[mark] = now
 
-    def asked(self, request_id: str, stage: int) -> None:
+    def requested(self, request_id: str, stage: int) -> None:
         """Note that the pieces of a stage were asked for: they now wait in their queue."""
         chain = self._chains.get(request_id)
         if chain is not None:
@@ -240,7 +240,7 @@
             for stage in list(chain.expected):
                 self._take_back(chain, stage)
 
-    def to_come(self, pool: str, priority: int) -> int:
+    def expected_pieces(self, pool: str, priority: int) -> int:
         """Return how many pieces requests that have begun will still ask of a pool."""
         return self._forecast(pool).timeline.total(priority)
 
--- a/traystall/passthrough/admission/crowding.py
+++ b/traystall/passthrough/admission/crowding.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from traystall.admission.demand import Demand
+from traystall.admission.demand import DemandTracker
 from traystall.passthrough.admission.forecast import PoolForecast, PoolLoad, stage_times
 
 # A pool counts as crowded from this part of that wait on: parts should bind before what can't be in
@@ -41,7 +41,7 @@
 class Crowding:
     """Watch the pools that kinds share by parts."""
 
-    def __init__(self, demand: Demand, forecast: Callable[[str], PoolForecast]):
+    def __init__(self, demand: DemandTracker, forecast: Callable[[str], PoolForecast]):
         self._demand = demand
         self._forecast = forecast
         # By pool and kind.
@@ -67,7 +67,7 @@
         kind = arrival.route.name
         if arrival.request_id not in self._asked:
             self._asked[arrival.request_id] = now
-            self._demand.asked(kind, arrival.customer, arrival.demand(), now)
+            self._demand.requested(kind, arrival.customer, arrival.demand(), now)
             self._note_patience(arrival, patience, shared, now)
         stages, counts = arrival.route.stages, arrival.counts
 
@@ -75,10 +75,12 @@
             return loads[pool].call_seconds
 
         times = stage_times(stages, counts, seconds, lambda pool, at: 0.0, now)
-        for stage, count, (asked, _) in zip(stages, counts, times, strict=True):
+        for stage, count, (requested, _) in zip(stages, counts, times, strict=True):
             if count and stage.pool in shared:
-                self._look_at(stage.pool, arrival.priority, patience, loads[stage.pool], now, asked)
-        self._demand.work_out(self._rates, now)
+                self._look_at(
+                    stage.pool, arrival.priority, patience, loads[stage.pool], now, requested
+                )
+        self._demand.update_shares(self._rates, now)
 
     def waits(self, now: float) -> dict[str, float]:
         """Return how long the queues take that somebody asked for lately, in seconds by pool."""
--- a/traystall/passthrough/admission/forecast.py
+++ b/traystall/passthrough/admission/forecast.py
@@ -65,11 +65,11 @@
     """
     times: list[tuple[float, float]] = []
     for stage, count in zip(stages, counts, strict=True):
-        asked = max((times[earlier][1] for earlier in stage.after), default=now)
-        ends = asked
+        requested = max((times[earlier][1] for earlier in stage.after), default=now)
+        ends = requested
         if count:
-            ends += wait(stage.pool, asked) + seconds(stage.pool)
-        times.append((asked, ends))
+            ends += wait(stage.pool, requested) + seconds(stage.pool)
+        times.append((requested, ends))
     return times
 
 
@@ -96,7 +96,7 @@
 
     unhindered = stage_times(stages, counts, seconds, no_wait, now)
     begins = zip(unhindered, counts, strict=True)
-    dues = iter([asked + slack for (asked, _), count in begins if count])
+    dues = iter([requested + slack for (requested, _), count in begins if count])
 
     def wait(pool, at):
         return forecasts(pool).wait(priority, loads[pool], now, at, next(dues))
--- a/traystall/passthrough/context.py
+++ b/traystall/passthrough/context.py
@@ -4,21 +4,21 @@
 import random as random_module
 from collections import Counter
 
-from traystall.admission.patience import shared_pools
+from traystall.admission.pool_sharing import shared_pools
 from traystall.core import clock
-from traystall.evacuations.models import EvacuatedPlaces
+from traystall.evacuations.models import EvacuatedDataCentres
 from traystall.gateway.configuration import ConfigurationFollower
-from traystall.passthrough.admission.budget import BudgetRule, RepeatBudget
+from traystall.passthrough.admission.budget import RepeatBudget, RepeatBudgetRule
 from traystall.passthrough.dialect import HeaderNames, StageDialect
-from traystall.passthrough.health.asking import AskingWatch
 from traystall.passthrough.health.board import TargetBoard, TargetView
-from traystall.passthrough.health.cold import ColdRule
-from traystall.passthrough.health.cold_targets import ColdTargets
-from traystall.passthrough.health.places import DataCentreWatch
-from traystall.passthrough.ownership.owners import Owners, batching_key
+from traystall.passthrough.health.cold import ColdStartLimit
+from traystall.passthrough.health.cold_targets import ColdStartLimiter
+from traystall.passthrough.health.data_centre_monitor import DataCentreMonitor
+from traystall.passthrough.health.notices import TargetNoticeMonitor
+from traystall.passthrough.ownership.owners import OwnerSelector, batching_key
 from traystall.passthrough.stages.cells import Cells, batching_cells
+from traystall.permits.lenders import SETTLE_SECONDS, LenderRanking
 from traystall.permits.permits import Permits
-from traystall.permits.ranks import SETTLE_SECONDS, LenderRanks
 from traystall.quarantine.guard import RequestGuard
 from traystall.registry.follower import RegistryFollower
 from traystall.routes.matching import RouteIndex
@@ -47,8 +47,8 @@
         identity: str,
         names: HeaderNames,
         stage_dialect: StageDialect,
-        budget_rule: BudgetRule,
-        cold_rule: ColdRule = ColdRule(),  # noqa: B008 - it is frozen.
+        budget_rule: RepeatBudgetRule,
+        cold_rule: ColdStartLimit = ColdStartLimit(),  # noqa: B008 - it is frozen.
         lender_settle_seconds: float = SETTLE_SECONDS,
     ):
         self.data_centre = data_centre
@@ -56,20 +56,20 @@
         self.names = names
         self.stage_dialect = stage_dialect
         self.random = random_module.Random()
-        self.places = DataCentreWatch(data_centre)
-        ranks = LenderRanks(identity, lender_settle_seconds)
+        self.places = DataCentreMonitor(data_centre)
+        ranks = LenderRanking(identity, lender_settle_seconds)
         self.permits = Permits(identity, self.directory, self.random, ranks)
         self.board = TargetBoard(self.random, self.max_connections, self.places, self.permits)
-        self.asking = AskingWatch(names, self.board.reindex)
-        self.board.on_send = self.asking.sent
-        self.board.on_head = self.asking.heard
+        self.notices = TargetNoticeMonitor(names, self.board.reindex)
+        self.board.on_send = self.notices.on_request_sent
+        self.board.on_head = self.notices.on_response_head
         self.follower: ConfigurationFollower | None = None
         self.registry: RegistryFollower | None = None
-        self.owners = Owners(self)
+        self.owners = OwnerSelector(self)
         self.batcher = None
-        self.placing = None
+        self.placement_service = None
         self.guard: RequestGuard | None = None
-        self.cold = ColdTargets(self, cold_rule)
+        self.cold = ColdStartLimiter(self, cold_rule)
         self._budget_rule = budget_rule
         self._budgets: dict[str, RepeatBudget] = {}
         self._stage_seconds: dict[str, float] = {}
@@ -90,7 +90,7 @@
 
     def is_behind(self) -> bool:
         """Return whether a revision is known to be accepted that is not in force here yet."""
-        newest = max(self.registry.newest_number, self.follower.newest_number)
+        newest = max(self.registry.newest_revision, self.follower.newest_revision)
         return newest > self.index.number
 
     async def wait_for_configuration(self, seconds: float) -> None:
@@ -122,12 +122,12 @@
 
     def may_repeat(self, pool: str, count: int = 1) -> bool:
         """Take repeats from the budget of a pool; return whether it allowed them."""
-        return self.budget(pool).take(clock.monotonic(), self.gateways(), count)
+        return self.budget(pool).try_consume(clock.monotonic(), self.gateways(), count)
 
-    def on_evacuations(self, before: EvacuatedPlaces, after: EvacuatedPlaces) -> None:
+    def on_evacuations(self, before: EvacuatedDataCentres, after: EvacuatedDataCentres) -> None:
         """Send nothing more to what is evacuated now; take up slowly what was restored."""
         for data_centre in before.data_centres - after.data_centres:
-            self.cold.expect(data_centre)
+            self.cold.mark_cold(data_centre)
         self.board.set_evacuated(after.data_centres)
 
     def is_evacuated(self, view: TargetView) -> bool:
@@ -136,21 +136,21 @@
 
     def lacks_place(self, pool: str, places: tuple[str, ...]) -> bool:
         """Return whether a pool has targets, but all outside `places` or evacuated."""
-        return bool(self.board.pool(pool)) and not self.board.inside(pool, places)
+        return bool(self.board.pool(pool)) and not self.board.eligible(pool, places)
 
-    def rest_left(self, pool: str, places: tuple[str, ...] = ()) -> float:
+    def backoff_left(self, pool: str, places: tuple[str, ...] = ()) -> float:
         """Return how long no target of a pool that may be used can be asked, in seconds.
 
         They rest, or others have what they take.
         """
-        return self.board.rest_left(pool, clock.monotonic(), places)
+        return self.board.backoff_left(pool, clock.monotonic(), places)
 
     def limit_wait(self, pool: str, places: tuple[str, ...] = ()) -> float:
         """Return how long what comes to a pool has to wait for its limit, in seconds.
 
         0 where not all its targets name one. What comes to other gateways is taken for as much.
         """
-        taken = self.board.whole_limit(pool, places) if self.permits.limits() else None
+        taken = self.board.total_rate_limit(pool, places) if self.permits.limits() else None
         if taken is None:
             return 0.0
         return self.coming[pool] * self.gateways() / (taken * FIRST_PART)
@@ -165,7 +165,7 @@
 
         0 where they are not. Whoever came back sooner would mostly be refused again.
         """
-        taken = self.board.whole_limit(pool, places)
+        taken = self.board.total_rate_limit(pool, places)
         if taken is None:
             return 0.0
         return min(_MAX_TURN_SECONDS, self.gateways() / (taken * FIRST_PART))
@@ -186,7 +186,7 @@
         """The same for pieces, which one gateway of a cell sends for all: it has most of it."""
         batches = self.batching_owner(cell) is None
         gateways = max(1, len(self.cells())) if batches else self.gateways()
-        return self.budget(pool).take(clock.monotonic(), gateways)
+        return self.budget(pool).try_consume(clock.monotonic(), gateways)
 
     def cells(self) -> Cells:
         """Return the cells that batch pieces for themselves; none if one is for all."""
@@ -223,12 +223,12 @@
         return profile.seconds(profile.batch) if profile else 0.0
 
     def usable(
-        self, pool: str, places: tuple[str, ...] = (), closed_too: bool = False
+        self, pool: str, places: tuple[str, ...] = (), include_closed: bool = False
     ) -> list[TargetView]:
         """Return the targets of a pool to which work may go now, inside `places` if any are named.
 
         Place goes before everything: no doubt about the targets inside lets one outside in. With
         `closed_too` those count whose limit others have used up for the moment.
         """
-        heard_at = self.registry.last_heard()
-        return self.board.usable(pool, clock.monotonic(), heard_at, places, closed_too)
+        heard_at = self.registry.last_reply_at()
+        return self.board.usable(pool, clock.monotonic(), heard_at, places, include_closed)
--- a/traystall/passthrough/daemon.py
+++ b/traystall/passthrough/daemon.py
@@ -14,19 +14,19 @@
 from traystall.http.health import add_health_pages
 from traystall.http.router import Router
 from traystall.http.server import HttpServer
-from traystall.passthrough.admission.budget import BudgetRule
+from traystall.passthrough.admission.budget import RepeatBudgetRule
 from traystall.passthrough.context import PassContext
 from traystall.passthrough.dialect import HeaderNames, PlainStageDialect, StageDialect
 from traystall.passthrough.entry.drain import Drain
 from traystall.passthrough.entry.front import PassFront
-from traystall.passthrough.health.cold import ColdRule
-from traystall.passthrough.health.pages import LimitPages, RestPages
-from traystall.passthrough.health.probing import PlaceProber
+from traystall.passthrough.health.cold import ColdStartLimit
+from traystall.passthrough.health.pages import BackoffPages, LimitPages
+from traystall.passthrough.health.probing import DataCentreProber
 from traystall.passthrough.ownership.owners import LEAVING
-from traystall.passthrough.placement.placing import Placing
+from traystall.passthrough.placement.service import PlacementService
 from traystall.passthrough.settings import SETTINGS, check_gateway
 from traystall.passthrough.stages.batcher import Batcher
-from traystall.permits.news import LimitTeller
+from traystall.permits.broadcast import LimitBroadcaster
 from traystall.quarantine.digests import make_key
 from traystall.quarantine.guard import RequestGuard
 from traystall.registry.follower import RegistryFollower
@@ -79,14 +79,16 @@
         self._links = LinkPool(
             LinkIdentity(settings.cluster, ROLE, self._identity, settings.secret)
         )
-        rule = BudgetRule(settings.repeat_ratio, settings.repeat_window, settings.repeat_slack)
+        rule = RepeatBudgetRule(
+            settings.repeat_ratio, settings.repeat_window, settings.repeat_slack
+        )
         self.gateway_context = PassContext(
             settings.data_centre,
             self._identity,
             self._names,
             self._stage_dialect,
             rule,
-            ColdRule(settings.cold_excess, settings.cold_slack),
+            ColdStartLimit(settings.cold_excess, settings.cold_slack),
         )
         key = make_key(settings.cluster, settings.secret)
         leader = LeaderLink(self._links, self.controls, _LEADER_SECONDS)
@@ -94,8 +96,8 @@
         self._follow()
         self.gateway_context.permits.links = self._links
         self.gateway_context.batcher = Batcher(self.gateway_context, self._links)
-        self.gateway_context.placing = Placing(self.gateway_context, self._links)
-        self.gateway_context.board.on_change.append(self.gateway_context.batcher.pump)
+        self.gateway_context.placement_service = PlacementService(self.gateway_context, self._links)
+        self.gateway_context.board.on_change.append(self.gateway_context.batcher.dispatch)
         self._server = RpcServer(
             settings.rpc_listen, settings.cluster, settings.secret, self._answer_peer
         )
@@ -108,17 +110,17 @@
         self._background.start(self.gateway_context.guard.reports.send_forever())
         self._background.start(self._pump_forever())
         self._background.start(self._reload_forever())
-        prober = PlaceProber(self.gateway_context, self._links)
+        prober = DataCentreProber(self.gateway_context, self._links)
         self._background.start(prober.probe_forever())
         context = self.gateway_context
-        teller = LimitTeller(
+        teller = LimitBroadcaster(
             context.permits,
             self._links,
             context.directory,
             context.board.data_centre_of,
             context.board.lives,
         )
-        self._background.start(teller.tell_forever())
+        self._background.start(teller.run_forever())
         seconds = round(clock.monotonic() - startup.STARTED_AT, 3)
         logger.info("started", extra={"identity": self._identity, "seconds": seconds})
 
@@ -127,7 +129,7 @@
         await daemon.first_of(stopping, self._background.failed)
         logger.info("draining", extra={"in_flight": self._front.in_flight})
         self._state = "draining"
-        self.gateway_context.permits.may_lend = False
+        self.gateway_context.permits.may_grant = False
         drain = Drain(self._front, self._callers)
         await drain.run(self.settings.drain_notice, self.settings.drain_limit)
         await self.gateway_context.batcher.drain(_BATCHED_SECONDS)
@@ -140,7 +142,7 @@
         for task in self._fetches:
             task.cancel()
         self.gateway_context.batcher.close()
-        self.gateway_context.placing.close()
+        self.gateway_context.placement_service.close()
         self.gateway_context.permits.close()
         self.gateway_context.guard.ends.close()
         await self._callers.close(_CLOSE_SECONDS)
@@ -166,16 +168,16 @@
         follower.held.tables = RoutingTables(self._translate)
         registry = RegistryFollower(self._links, self._identity, lambda: self.controls)
         registry.merge = self.gateway_context.board.merge
-        registry.saw = self.gateway_context.board.saw
+        registry.record_seen = self.gateway_context.board.record_seen
         registry.on_members = self._take_members
         registry.number = lambda: follower.held.number
-        registry.on_number = self._fetch_configuration
+        registry.on_newer_revision = self._fetch_configuration
         self._fetches: set[asyncio.Task] = set()
         registry.evacuation_version = lambda: follower.evacuations.version
-        registry.on_evacuated = follower.evacuations.take
+        registry.on_evacuation_update = follower.evacuations.take
         follower.evacuations.on_change.append(self.gateway_context.on_evacuations)
         follower.suspects = registry.suspects = self.gateway_context.guard.held
-        self.gateway_context.guard.all_tell = lambda: registry.all_tell_suspects
+        self.gateway_context.guard.daemons_support_suspects = lambda: registry.all_support_suspects
         self.gateway_context.follower = follower
         self.gateway_context.registry = registry
 
@@ -230,25 +232,25 @@
             # Whoever asks takes another gateway from now on.
             raise RpcRefused(LEAVING, "This gateway is about to stop.")
         if isinstance(request, ttypes.StageRequest):
-            return await batcher.run_here(request)
+            return await batcher.run_locally(request)
         if isinstance(request, ttypes.StageCancel):
             batcher.cancel(request.call_id, request.request_id)
             return None
         if isinstance(request, ttypes.StageFreed):
-            batcher.freed_here(request.pool, request.handles)
+            batcher.on_results_freed(request.pool, request.handles)
             return None
         if isinstance(request, ttypes.PlaceRequest):
-            return self.gateway_context.placing.place_here(request)
+            return self.gateway_context.placement_service.place_for_peer(request)
         if isinstance(request, ttypes.PlaceNote):
-            self.gateway_context.placing.note_here(request)
+            self.gateway_context.placement_service.on_place_note(request)
             return None
         if isinstance(request, ttypes.PermitRequest):
-            return self.gateway_context.permits.lend(request)
+            return self.gateway_context.permits.grant(request)
         if isinstance(request, ttypes.PermitReturn):
-            self.gateway_context.permits.take_back(request)
+            self.gateway_context.permits.on_permit_returned(request)
             return None
         if isinstance(request, ttypes.LimitNews):
-            self.gateway_context.permits.take_news(request)
+            self.gateway_context.permits.merge_limits(request)
             return None
         if isinstance(request, ttypes.PingRequest):
             return await batcher.ping(request)
@@ -261,8 +263,8 @@
     async def _pump_forever(self):
         while True:
             await asyncio.sleep(_PUMP_SECONDS)
-            self.gateway_context.batcher.pump()
-            self.gateway_context.asking.review(self.gateway_context.board.views())
+            self.gateway_context.batcher.dispatch()
+            self.gateway_context.notices.review(self.gateway_context.board.views())
 
     async def _reload_forever(self):
         """Read the settings again now and then: they may change without a signal."""
@@ -279,7 +281,7 @@
             router = Router()
             add_health_pages(router, self.is_ready)
             context = self.gateway_context
-            RestPages(context.board, self.settings.secret).add_to(router)
+            BackoffPages(context.board, self.settings.secret).add_to(router)
             LimitPages(context.board, context.permits).add_to(router)
             self._health = HttpServer(router.handle)
             await self._health.listen(self.settings.health_listen)
--- a/traystall/passthrough/dialect.py
+++ b/traystall/passthrough/dialect.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from traystall.systems.target_limits import LIMIT
+from traystall.systems.target_limits import LIMIT_HEADER
 
 
 class HeaderNames(msgspec.Struct, frozen=True):
@@ -22,7 +22,7 @@
     load: str = "Traystall-Load"
     not_run: str = "Traystall-Not-Run"
     leaving: str = "Traystall-Leaving"
-    limit: str = LIMIT
+    limit: str = LIMIT_HEADER
     pieces: str = "Traystall-Pieces"
     piece_key: str = "Traystall-Piece-Key"
     inputs: str = "Traystall-Inputs"
--- a/traystall/passthrough/entry/front.py
+++ b/traystall/passthrough/entry/front.py
@@ -14,7 +14,7 @@
 from traystall.passthrough.entry.request import PassRequest
 from traystall.passthrough.exceptions import Refusal
 from traystall.passthrough.exchange.runner import PassRunner
-from traystall.routes.matching import choose_pool, places_of
+from traystall.routes.matching import allowed_data_centres, choose_pool
 
 NOT_READY_RETRY_AFTER = 0.5
 # A gateway that has just started lets requests wait this long, in seconds, for the routes.
@@ -85,7 +85,7 @@
             raise Refusal(
                 421, "outside", "This gateway is outside the customer's data centres.", None
             )
-        places = places_of(route, customer)
+        places = allowed_data_centres(route, customer)
         if places is None:
             raise Refusal(
                 503, "no-place", "Route and customer have no data centre in common.", None
@@ -110,7 +110,7 @@
     def _customer(self, request, route):
         """Return who sent a request, or None where nobody needs to be known."""
         index = self._context.index
-        if not index.wants_keys:
+        if not index.requires_key:
             return None
         scheme, _, key = request.get("Authorization").partition(" ")
         known = scheme.lower() == self._context.names.key_scheme.lower()
--- a/traystall/passthrough/entry/request.py
+++ b/traystall/passthrough/entry/request.py
@@ -76,9 +76,9 @@
         self.piece_counts = _parse_counts(caller.get(names.pieces), len(route.stages))
         self.inputs: tuple[str, ...] = ()
         # The data centre where the results of the stages will be read, as far as it is known.
-        self.home = ""
+        self.stages_data_centre = ""
         # Where it was placed on an engine; empty for this gateway.
-        self.placed_at = ""
+        self.placer_address = ""
         # Whether a cell that is busy should say so at once, because another may be asked.
         self.refuse_at_once = False
         self.input_bytes = sum(
@@ -111,7 +111,7 @@
     def may_go_elsewhere(self) -> bool:
         """Return whether another target may be asked in place of the one that has it now."""
         left = self.route.max_attempts - self.attempts
-        return self.route.may_run_again and left > 0 and not self.guarded.trial
+        return self.route.is_safe_to_retry and left > 0 and not self.guarded.trial
 
     @property
     def mark(self) -> str:
--- a/traystall/passthrough/exchange/attempt.py
+++ b/traystall/passthrough/exchange/attempt.py
@@ -58,7 +58,7 @@
 
     async def __aexit__(self, kind, error, traceback):
         connection, self._connection = self._connection, None
-        self.view.asked.on_over(self._is_first_after_backoff)
+        self.view.availability.on_finished(self._is_first_after_backoff)
         if self._permit is not None and not self.was_sent:
             self.view.permits.give_back(self._permit)
         if connection is None:
@@ -80,13 +80,15 @@
         self._require_availability("choice")
         if self.view.limit.is_limited:
             await self._take_permit(patience)
-        self._is_first_after_backoff = self._is_work and self.view.asked.on_sent()
+        self._is_first_after_backoff = self._is_work and self.view.availability.on_sent()
         self._connection = await self.view.connections.acquire(max_idle_seconds)
 
     def send(self, data: bytes) -> None:
         """Send the request; from this call on, the target may have run it."""
         # The target may have asked for a backoff while the connection was being established.
-        if self.view.asked.rests(clock.monotonic()) or (self._is_work and self.view.asked.leaves):
+        if self.view.availability.is_backing_off(clock.monotonic()) or (
+            self._is_work and self.view.availability.leaves
+        ):
             self._raise_held_back("sending")
         # The target may also have announced a rate limit in that time; no permit was taken then.
         if not self.view.is_covered(self._permit):
@@ -113,8 +115,12 @@
     def _require_availability(self, where):
         """Raise TargetHeldBack unless the target accepts this request now."""
         now = clock.monotonic()
-        asked = self.view.asked
-        if not (asked.may_get_work(now) if self._is_work else not asked.rests(now)):
+        availability = self.view.availability
+        if not (
+            availability.may_send_work(now)
+            if self._is_work
+            else not availability.is_backing_off(now)
+        ):
             self._raise_held_back(where)
 
     def _raise_held_back(self, where):
@@ -133,7 +139,7 @@
             await self._connection.body(_MAX_STRAY_BYTES)
         raise NoAnswer("The response belongs to another request.", sent=True)
 
-    async def read_whole(self) -> TargetResponse:
+    async def read_response(self) -> TargetResponse:
         """Return the complete response."""
         return await self.read_body(await self.read_head())
 
--- a/traystall/passthrough/exchange/failures.py
+++ b/traystall/passthrough/exchange/failures.py
@@ -8,7 +8,7 @@
 from traystall.passthrough.entry.request import PassRequest
 from traystall.passthrough.exchange.attempt import TargetResponse
 from traystall.passthrough.exchange.connection import ResponseHead
-from traystall.systems.rests import RETRY_AFTER, rest_seconds
+from traystall.systems.retry_after import RETRY_AFTER, parse_retry_after
 
 # With less time left than this, no further attempt is made.
 MIN_ATTEMPT_SECONDS = 0.02
@@ -57,7 +57,7 @@
         return unreachable < _MAX_UNREACHABLE_TARGETS
     if passed.attempts >= passed.route.max_attempts:
         return False
-    return failure.kind is FailureKind.NOT_RUN or passed.route.may_run_again
+    return failure.kind is FailureKind.NOT_RUN or passed.route.is_safe_to_retry
 
 
 def lost_inputs(failure: Failure) -> bool:
@@ -84,5 +84,5 @@
     The pause is for a target without a free slot and is ignored if no other target is left. A
     backoff period that the target asked for is binding and is handled by `TargetNoticeMonitor`.
     """
-    seconds = rest_seconds(head.get_all(RETRY_AFTER), head.get("Date"))
+    seconds = parse_retry_after(head.get_all(RETRY_AFTER), head.get("Date"))
     return min(_MAX_FULL_TARGET_PAUSE_SECONDS, seconds) or _FULL_TARGET_PAUSE_SECONDS
--- a/traystall/passthrough/exchange/pool.py
+++ b/traystall/passthrough/exchange/pool.py
@@ -36,7 +36,7 @@
         self._idle: list[TargetConnection] = []
         self._open = 0
 
-    def has_room(self) -> bool:
+    def has_free_connection(self) -> bool:
         """Return whether a connection can be acquired now."""
         return bool(self._idle) or self._open < self._limit()
 
--- a/traystall/passthrough/exchange/refusals.py
+++ b/traystall/passthrough/exchange/refusals.py
@@ -46,7 +46,7 @@
         The value is 0 if the pool has a target without a rate limit. Otherwise it is the time that
         the latency aim leaves after the usual response time, within the ratios above.
         """
-        if self._context.board.whole_limit(passed.pool, passed.places) is None:
+        if self._context.board.total_rate_limit(passed.pool, passed.places) is None:
             return 0.0
         aim = passed.route.aim
         slack = aim - (clock.monotonic() - passed.started) - self.usual_response_seconds(passed)
@@ -103,7 +103,7 @@
 
         It can't be served in time, so running its stages or letting it wait would be wasted.
         """
-        seconds = self._context.rest_left(passed.pool, passed.places)
+        seconds = self._context.backoff_left(passed.pool, passed.places)
         if seconds > self._usual_stages_seconds(passed) + passed.route.aim * MAX_BACKOFF_WAIT_RATIO:
             raise self.backoff_refusal(passed, seconds)
 
