--- a/traystall/passthrough/exchange/runner.py
+++ b/traystall/passthrough/exchange/runner.py
@@ -39,9 +39,9 @@
 from traystall.passthrough.exchange.refusals import MAX_BACKOFF_WAIT_RATIO, Refusals
 from traystall.passthrough.health.board import TargetView
 from traystall.passthrough.placement import choice
-from traystall.passthrough.stages.cells import balanced_cell, cell_of, other_cell
-from traystall.passthrough.stages.chain import InputsGone, StageChain, StageFailed
-from traystall.quarantine.ends import WatchedTarget
+from traystall.passthrough.stages.cells import balanced_cell, cell_of, fallback_cell
+from traystall.passthrough.stages.chain import InputsLost, StageChain, StageFailed
+from traystall.quarantine.ends import TargetIncarnation
 
 # A request that must not run twice uses only connections that were idle for at most this time. If
 # the target closed an older connection at that moment, it would be unknown whether the request ran.
@@ -93,7 +93,7 @@
             passed.outcome = "caller-left"
             raise
         finally:
-            self._context.guard.over(passed.guarded)
+            self._context.guard.on_finished(passed.guarded)
 
     async def _run_with_stages(self, passed, sink):
         """Run the stages and the request; start over if stage results were lost."""
@@ -104,7 +104,7 @@
             try:
                 await self._run_stages(chain, passed)
                 return await self._run_attempts(passed, sink, chain)
-            except InputsGone as error:
+            except InputsLost as error:
                 decision("inputs-gone", request=passed.request_id, why=str(error), left=left)
                 if not left or not self._may_run_stages_again(passed):
                     raise self._refusals.refusal(passed, "stage-failed", str(error)) from error
@@ -143,11 +143,11 @@
             return
         began = clock.monotonic()
         likely = await self._choose(passed, book=False)
-        passed.home = likely.report.data_centre if likely else ""
+        passed.stages_data_centre = likely.report.data_centre if likely else ""
         self._context.coming[passed.pool] += 1
         try:
             passed.inputs = await self._run_in_cells(chain, passed)
-        except InputsGone:
+        except InputsLost:
             raise
         except StageFailed as error:
             code = "busy" if error.retry_after else "stage-failed"
@@ -162,11 +162,11 @@
         A cell is a group of data centres that batches pieces on its own.
         """
         cells = self._context.cells()
-        cell = cell_of(passed.request_id, passed.home, cells)
+        cell = cell_of(passed.request_id, passed.stages_data_centre, cells)
         balanced = self._balanced_cell(passed, cell, cells)
         if balanced != cell:
-            cell = passed.home = balanced
-        other = other_cell(passed.request_id, cell, cells, passed.places)
+            cell = passed.stages_data_centre = balanced
+        other = fallback_cell(passed.request_id, cell, cells, passed.places)
         if not other:
             return await chain.run()
         passed.refuse_at_once = True
@@ -178,7 +178,7 @@
             decision("cell-busy", request=passed.request_id, cell=cell, other=other)
         chain.free()
         passed.refuse_at_once = False
-        passed.home = other
+        passed.stages_data_centre = other
         return await chain.run()
 
     def _balanced_cell(self, passed, cell, cells) -> str:
@@ -225,7 +225,7 @@
                 passed.tried.discard(view.identity)
                 if not self._context.may_repeat(passed.pool):
                     return self._finish_failed(passed, sink, failure)
-                raise InputsGone(failure.reason)
+                raise InputsLost(failure.reason)
             if not may_try_again(passed, failure, unreachable):
                 return self._finish_failed(passed, sink, failure)
             counted = failure.kind is not FailureKind.UNREACHABLE
@@ -234,7 +234,7 @@
             if sink.is_open and passed.inputs:
                 # The stage results were released when the stream began. The target that continues
                 # the stream needs them again.
-                raise InputsGone("The stream continues at another target and needs its inputs.")
+                raise InputsLost("The stream continues at another target and needs its inputs.")
 
     async def _wait_for_target(self, passed) -> TargetView | None:
         """Return the target for an attempt; wait briefly if one becomes available soon."""
@@ -254,14 +254,14 @@
         context = self._context
         pool = context.index.pools.get(passed.pool)
         if pool is not None and pool.engine is not None:
-            return await context.placing.choose(passed, book)
+            return await context.placement_service.choose_engine(passed, book)
         found = [v for v in context.usable(passed.pool, passed.places) if context.cold.may_send(v)]
         mean = context.board.mean_seconds(passed.pool)
         view = choice.choose_target(
             found, passed.tried, context.data_centre, mean, context.random, clock.monotonic()
         )
         if view is not None:
-            context.cold.note_sent(view)
+            context.cold.record_sent(view)
         return view
 
     async def _attempt(self, passed, view, sink, chain) -> Response | Failure | None:
@@ -284,12 +284,12 @@
         except (TimeoutError, asyncio.CancelledError):
             passed.may_have_run = passed.may_have_run or attempt.was_sent
             if attempt.was_sent:
-                self._context.guard.ends.on_left(self._watched(view), passed.guarded)
+                self._context.guard.ends.on_run_abandoned(self._watched(view), passed.guarded)
             raise
         finally:
             view.running -= 1
             if passed.prompt.parts:
-                self._context.placing.ended(passed)
+                self._context.placement_service.ended(passed)
             decision(
                 "attempt",
                 request=passed.request_id,
@@ -308,24 +308,24 @@
             return
         if isinstance(error, ConnectFailed):
             if error.refused:
-                ends.on_refused(self._watched(view))
+                ends.on_connection_refused(self._watched(view))
         elif isinstance(error, ConnectionBroken) and error.sent and not error.silent:
-            ends.on_broken(self._watched(view), passed.guarded)
+            ends.on_connection_broken(self._watched(view), passed.guarded)
         elif error.sent:
-            ends.on_left(self._watched(view), passed.guarded)
+            ends.on_run_abandoned(self._watched(view), passed.guarded)
 
-    def _watched(self, view) -> WatchedTarget:
-        return view.watched(lambda: self._context.board.sign_of_end(view))
+    def _watched(self, view) -> TargetIncarnation:
+        return view.watched(lambda: self._context.board.end_evidence(view))
 
     async def _exchange(self, passed, view, attempt, sink, chain):
-        max_idle_seconds = float("inf") if passed.route.may_run_again else _MAX_IDLE_SECONDS
+        max_idle_seconds = float("inf") if passed.route.is_safe_to_retry else _MAX_IDLE_SECONDS
         patience = self._refusals.max_turn_wait(passed) if view.limit.is_limited else 0.0
         await attempt.open(max_idle_seconds, patience)
         began = clock.monotonic()
         attempt.send(passed.wire(view, sink.last_id))
         passed.attempts += 1
         head = await self._read_head_in_time(passed, attempt)
-        self._context.places.on_heard(view.report.data_centre)
+        self._context.places.on_response(view.report.data_centre)
         if passed.route.streamed and is_success(head, self._context.names):
             return await self._relay_events(passed, attempt, sink, chain, view)
         response = await attempt.read_body(head)
@@ -366,7 +366,7 @@
         head = response.head
         if attempt.has_not_run():
             if head.status == 421:
-                view.is_misplaced = True
+                view.is_replaced = True
             elif head.status not in (400, 409):
                 view.avoid_until = max(view.avoid_until, now + pause_after_refusal(head))
             return Failure(FailureKind.NOT_RUN, f"The target answered {head.status}.", response)
@@ -388,7 +388,7 @@
             for event in sink.split(chunk):
                 if not sink.is_open:
                     chain.free()
-                    self._context.placing.started(passed)
+                    self._context.placement_service.started(passed)
                     now = clock.monotonic()
                     view.on_success(0.0, now)
                     first_event_seconds = now - sent_at
@@ -423,7 +423,7 @@
         ):
             passed.outcome = f"target-{response.head.status}"
             return _to_response(response)
-        seconds = self._context.rest_left(passed.pool, passed.places)
+        seconds = self._context.backoff_left(passed.pool, passed.places)
         if seconds:
             raise self._refusals.backoff_refusal(passed, seconds)
         reason = failure.reason if failure else "No target can take it."
--- a/traystall/passthrough/health/board.py
+++ b/traystall/passthrough/health/board.py
@@ -16,12 +16,12 @@
     TargetConnection,
 )
 from traystall.passthrough.exchange.pool import ConnectionPool
-from traystall.passthrough.health.places import DataCentreWatch
+from traystall.passthrough.health.data_centre_monitor import DataCentreMonitor
 from traystall.permits.permits import Permit, Permits
-from traystall.quarantine.ends import WatchedTarget
+from traystall.quarantine.ends import TargetIncarnation
 from traystall.registry.models import RegisteredState, TargetReport
 from traystall.registry.table import Registry
-from traystall.tables.asked import Asked
+from traystall.tables.availability import Availability
 from traystall.tables.target_limits import TargetLimit
 
 # A target is avoided after this many consecutive failures. The avoidance period doubles with each
@@ -60,10 +60,10 @@
     failures: int = 0
     avoid_until: float = float("-inf")
     avoid_count: int = 0
-    is_misplaced: bool = False
+    is_replaced: bool = False
     ratio: float = 1.0
     cold_until: float = float("-inf")
-    asked: Asked = msgspec.field(default_factory=Asked)
+    availability: Availability = msgspec.field(default_factory=Availability)
     backoff_connection: TargetConnection | None = None
     limit: TargetLimit = msgspec.field(default_factory=TargetLimit)
     permits: Permits | None = None
@@ -72,11 +72,13 @@
     @property
     def is_ready(self) -> bool:
         """Return whether the target is ready and has not announced its shutdown."""
-        return self.report.state is RegisteredState.READY and not self.asked.leaves
+        return self.report.state is RegisteredState.READY and not self.availability.leaves
 
-    def may_get_work(self, now: float) -> bool:
+    def may_send_work(self, now: float) -> bool:
         """Return whether the target's state, its notices and its rate limit allow new work now."""
-        return self.is_ready and self.asked.may_get_work(now) and not self.limit.is_closed(now)
+        return (
+            self.is_ready and self.availability.may_send_work(now) and not self.limit.is_closed(now)
+        )
 
     def is_covered(self, permit: Permit | None) -> bool:
         """Return whether the target's rate limit allows a request with `permit` now."""
@@ -87,21 +89,21 @@
     def blocked_until(self) -> float:
         """Return when the backoff period and the wait for its rate limit are both over."""
         closed = self.limit.closed_until if self.limit.is_limited else float("-inf")
-        return max(self.asked.rest_until, closed)
+        return max(self.availability.backoff_until, closed)
 
     @property
     def identity(self) -> str:
         """Return the identity of the target."""
         return self.report.identity
 
-    def watched(self, evidence: Callable[[], str]) -> WatchedTarget:
+    def watched(self, evidence: Callable[[], str]) -> TargetIncarnation:
         """Return the description that is examined when a connection to the target breaks."""
         report = self.report
-        return WatchedTarget(
+        return TargetIncarnation(
             report.life, report.address, report.pool, evidence, lambda: self.learned_at
         )
 
-    def usual_seconds(self, mean: float, now: float) -> float:
+    def expected_seconds(self, mean: float, now: float) -> float:
         """Return the expected duration; the learned one decays towards `mean`, that of its pool."""
         if not self.mean_seconds:
             return mean
@@ -137,7 +139,7 @@
     """Hold the targets of all pools, as the registry reports them."""
 
     def __init__(
-        self, random, max_connections, places: DataCentreWatch, permits: Permits | None = None
+        self, random, max_connections, places: DataCentreMonitor, permits: Permits | None = None
     ):
         self.registry = Registry()
         self.places = places
@@ -163,13 +165,13 @@
             return
         row = self.registry.get(report.identity)
         view = self._views.get(report.identity)
-        asked, limit = Asked(), None
+        availability, limit = Availability(), None
         if view is not None and 0 < view.report.started < row.report.started:
             # Connections, failures and learned durations belong to the previous incarnation. Its
             # connections are closed when it ends, so a notice that arrived on a connection that is
             # still open was sent by the new incarnation.
             is_open = view.backoff_connection is not None and not view.backoff_connection.is_closed
-            asked = view.asked.for_next_life(is_open)
+            availability = view.availability.for_next_incarnation(is_open)
             if view.limit_connection is not None and not view.limit_connection.is_closed:
                 limit = view.limit
             self._drop(report.identity)
@@ -180,15 +182,15 @@
                 view.report = row.report
             self._drop(report.identity)
         elif view is None:
-            self._views[report.identity] = self._make_view(row, asked, limit)
+            self._views[report.identity] = self._make_view(row, availability, limit)
         else:
             if self._permits is not None and view.report.life != row.report.life:
-                view.limit = self._permits.adopt(row.report.life, view.limit)
+                view.limit = self._permits.register_incarnation(row.report.life, view.limit)
             view.report = row.report
             view.cold_until = row.cold_until
         self._index()
 
-    def _make_view(self, row, asked, limit) -> TargetView:
+    def _make_view(self, row, availability, limit) -> TargetView:
         max_connections = self._max_connections
         observer = ConnectionObserver(
             lambda connection: self.on_send(view, connection),
@@ -197,15 +199,15 @@
         pool = ConnectionPool(
             row.report.address, lambda: max_connections(row.report.pool), observer
         )
-        view = TargetView(row.report, pool, cold_until=row.cold_until, asked=asked)
+        view = TargetView(row.report, pool, cold_until=row.cold_until, availability=availability)
         if self._permits is not None:
             view.permits = self._permits
-            view.limit = self._permits.adopt(row.report.life, limit)
+            view.limit = self._permits.register_incarnation(row.report.life, limit)
         return view
 
-    def saw(self, identity: str, seen_at: float) -> None:
+    def record_seen(self, identity: str, seen_at: float) -> None:
         """Record that a target has reported."""
-        self.registry.saw(identity, seen_at)
+        self.registry.record_seen(identity, seen_at)
 
     def view(self, identity: str) -> TargetView | None:
         """Return the target with this identity, or None."""
@@ -215,9 +217,9 @@
         """Return the identities of all known targets."""
         return set(self._views)
 
-    def sign_of_end(self, view: TargetView) -> str:
+    def end_evidence(self, view: TargetView) -> str:
         """Return the evidence that an incarnation of a target has ended, or an empty string."""
-        if view.is_misplaced:
+        if view.is_replaced:
             return "another life answers at its address"
         known = self._views.get(view.identity)
         if known is not None and known is not view:
@@ -256,9 +258,9 @@
 
     def data_centres(self, name: str) -> Counter[str]:
         """Return the number of targets of a pool per data centre, without evacuated ones."""
-        return Counter(view.report.data_centre for view in self.inside(name))
+        return Counter(view.report.data_centre for view in self.eligible(name))
 
-    def inside(self, name: str, places: tuple[str, ...] = ()) -> list[TargetView]:
+    def eligible(self, name: str, places: tuple[str, ...] = ()) -> list[TargetView]:
         """Return the targets of a pool in the data centres `places`, without evacuated ones.
 
         An empty `places` allows all data centres.
@@ -276,7 +278,7 @@
         now: float,
         registry_heard_at: float,
         places: tuple[str, ...] = (),
-        closed_too: bool = False,
+        include_closed: bool = False,
     ) -> list[TargetView]:
         """Return the targets of a pool that may get work now; suspected ones only if all are.
 
@@ -289,40 +291,40 @@
         """
         ready = [
             view
-            for view in self.inside(name, places)
-            if not view.is_misplaced
-            and view.asked.may_get_work(now)
-            and (closed_too or not view.limit.is_closed(now))
+            for view in self.eligible(name, places)
+            if not view.is_replaced
+            and view.availability.may_send_work(now)
+            and (include_closed or not view.limit.is_closed(now))
         ]
         healthy = [view for view in ready if now >= view.avoid_until]
         reachable = [
-            view for view in healthy if not self.places.is_out(view.report.data_centre, now)
+            view for view in healthy if not self.places.is_unreachable(view.report.data_centre, now)
         ]
         reporting = [view for view in reachable if not self._is_silent(view, registry_heard_at)]
         return reporting or reachable or healthy or ready
 
-    def rest_left(self, name: str, now: float, places: tuple[str, ...] = ()) -> float:
+    def backoff_left(self, name: str, now: float, places: tuple[str, ...] = ()) -> float:
         """Return how long all targets of a pool are unavailable, in seconds; 0 if one is available.
 
         The cause is a backoff period, or a rate limit that other gateways have used up.
         """
-        found = [view for view in self.inside(name, places) if not view.is_misplaced]
+        found = [view for view in self.eligible(name, places) if not view.is_replaced]
         return max(0.0, min((view.blocked_until() - now for view in found), default=0.0))
 
-    def whole_limit(self, name: str, places: tuple[str, ...] = ()) -> float | None:
+    def total_rate_limit(self, name: str, places: tuple[str, ...] = ()) -> float | None:
         """Return the sum of the rate limits of a pool per second, or None if a target has none."""
-        found = [view for view in self.inside(name, places) if not view.is_misplaced]
+        found = [view for view in self.eligible(name, places) if not view.is_replaced]
         if not found or not all(view.limit.is_limited for view in found):
             return None
         return sum(view.limit.per_second for view in found)
 
-    def held_back(self, name: str, now: float) -> set[str]:
+    def unavailable(self, name: str, now: float) -> set[str]:
         """Return the identities of the targets of a pool that get no work from this gateway.
 
         They are in a backoff period, shutting down, or their rate limit is used up.
         """
         known = [view for view in self._views.values() if view.report.pool == name]
-        return {view.identity for view in known if not view.may_get_work(now)}
+        return {view.identity for view in known if not view.may_send_work(now)}
 
     def next_available_seconds(
         self, name: str, excluded: set[str], now: float, places: tuple[str, ...] = ()
@@ -336,8 +338,8 @@
         return min(
             (
                 max(0.0, view.blocked_until() - now)
-                for view in self.inside(name, places)
-                if view.identity not in excluded and not view.may_get_work(now)
+                for view in self.eligible(name, places)
+                if view.identity not in excluded and not view.may_send_work(now)
             ),
             default=float("inf"),
         )
@@ -367,7 +369,7 @@
     def on_exchange_error(self, view: TargetView, error: ExchangeError, now: float) -> None:
         """Record a failed exchange with a target."""
         if error.silent:
-            self.places.on_silent(view.report.data_centre, view.identity, now)
+            self.places.on_no_response(view.report.data_centre, view.identity, now)
         if error.silent or not error.sent:
             view.on_unreachable(now, self._random)
         else:
--- a/traystall/passthrough/health/cold.py
+++ b/traystall/passthrough/health/cold.py
@@ -29,7 +29,7 @@
 _DIVIDED_RATIO_WITH_COORDINATOR = 0.2
 
 
-class ColdRule(msgspec.Struct, frozen=True):
+class ColdStartLimit(msgspec.Struct, frozen=True):
     """Bound the requests per second to a cold target: `excess` x the pool's rate + `slack`."""
 
     excess: float = 1.0
@@ -48,7 +48,7 @@
         return math.floor(self.bound(per_second))
 
 
-def coordinator_allowance(rule: ColdRule, per_second: float) -> int:
+def coordinator_allowance(rule: ColdStartLimit, per_second: float) -> int:
     """Return how many requests a gateway that acts for all may send to a cold target.
 
     The value is the rate that the pool declares, or the coordinator's share if that is less.
@@ -57,7 +57,12 @@
 
 
 def gateway_allowance(
-    rule: ColdRule, per_second: float, target: str, own: str, gateways: list[str], divides_all: bool
+    rule: ColdStartLimit,
+    per_second: float,
+    target: str,
+    own: str,
+    gateways: list[str],
+    divides_all: bool,
 ) -> int:
     """Return how many requests a gateway may send on its own to a cold target.
 
@@ -73,7 +78,7 @@
     return share + (own in rendezvous_order(f"cold {target}", names)[:left])
 
 
-class ColdBook:
+class RecentRequestCounter:
     """Count the requests that this gateway has sent to each target within the window."""
 
     def __init__(self):
--- a/traystall/passthrough/health/cold_targets.py
+++ b/traystall/passthrough/health/cold_targets.py
@@ -3,8 +3,8 @@
 from traystall.core import clock
 from traystall.passthrough.health.board import TargetView
 from traystall.passthrough.health.cold import (
-    ColdBook,
-    ColdRule,
+    ColdStartLimit,
+    RecentRequestCounter,
     coordinator_allowance,
     gateway_allowance,
 )
@@ -14,15 +14,15 @@
 _NO_POOL = Pool("")
 
 
-class ColdTargets:
+class ColdStartLimiter:
     """Limit the requests to cold targets in pools that declare a rate for them."""
 
-    def __init__(self, context, rule: ColdRule):
+    def __init__(self, context, rule: ColdStartLimit):
         self._context = context
         self._rule = rule
-        self._recent = ColdBook()
+        self._recent = RecentRequestCounter()
 
-    def may_send(self, view: TargetView, *, for_all: bool = False) -> bool:
+    def may_send(self, view: TargetView, *, as_coordinator: bool = False) -> bool:
         """Return whether a target may get one more request now.
 
         `as_coordinator` tells that this gateway sends the requests of all gateways.
@@ -31,14 +31,14 @@
         pool = self._pool(view.report.pool)
         if now >= view.cold_until or not pool.cold_per_second:
             return True
-        return self._recent.count(view.identity, now) < self._allowance(view, pool, for_all)
+        return self._recent.count(view.identity, now) < self._allowance(view, pool, as_coordinator)
 
-    def note_sent(self, view: TargetView) -> None:
+    def record_sent(self, view: TargetView) -> None:
         """Record a request to a target, which may be cold now or become cold within the window."""
         if self._pool(view.report.pool).cold_per_second:
             self._recent.record(view.identity, clock.monotonic())
 
-    def expect(self, data_centre: str) -> None:
+    def mark_cold(self, data_centre: str) -> None:
         """Treat the targets of a restored data centre as cold until they report otherwise."""
         board = self._context.board
         board.mark_data_centre_cold(data_centre, self._cold_seconds, clock.monotonic())
@@ -47,8 +47,8 @@
         """Drop the counts of targets that no longer exist."""
         self._recent.retain(self._context.board.identities())
 
-    def _allowance(self, view, pool, for_all) -> int:
-        if for_all:
+    def _allowance(self, view, pool, as_coordinator) -> int:
+        if as_coordinator:
             return coordinator_allowance(self._rule, pool.cold_per_second)
         # For pools of engines and of batching workers, one gateway acts for all others: it places
         # the prompts, or it batches the pieces.
--- a/traystall/passthrough/health/places.py
+++ b/traystall/passthrough/health/data_centre_monitor.py
@@ -18,7 +18,7 @@
 _MAX_EXTENDED_SECONDS = 12.0
 
 
-class DataCentreWatch:
+class DataCentreMonitor:
     """Track unresponsive peers by data centre; the own one is never taken as unreachable."""
 
     def __init__(self, own: str):
@@ -28,11 +28,11 @@
         self._outage_counts: dict[str, int] = {}
         self._outage_since: dict[str, float] = {}
 
-    def suspected(self) -> list[str]:
+    def unreachable(self) -> list[str]:
         """Return the data centres with an outage that have not responded since it began."""
         return list(self._outage_counts)
 
-    def extend(self, data_centre: str, now: float) -> None:
+    def extend_outage(self, data_centre: str, now: float) -> None:
         """Extend an outage after a probe that got no response."""
         since = self._outage_since.get(data_centre)
         if since is None or now - since > _MAX_EXTENDED_SECONDS:
@@ -40,9 +40,9 @@
         until = self._outage_until.get(data_centre, float("-inf"))
         self._outage_until[data_centre] = max(until, now + _EXTENSION_SECONDS)
 
-    def on_silent(self, data_centre: str, peer: str, now: float) -> None:
+    def on_no_response(self, data_centre: str, peer: str, now: float) -> None:
         """Record that a peer did not respond at all."""
-        if data_centre == self._own or self.is_out(data_centre, now):
+        if data_centre == self._own or self.is_unreachable(data_centre, now):
             return
         peers = self._silent.setdefault(data_centre, {})
         peers[peer] = now
@@ -58,13 +58,13 @@
             self._outage_since.setdefault(data_centre, now)
             peers.clear()
 
-    def on_heard(self, data_centre: str) -> None:
+    def on_response(self, data_centre: str) -> None:
         """Record that a peer responded, which ends the outage of its data centre."""
         self._silent.pop(data_centre, None)
         self._outage_until.pop(data_centre, None)
         self._outage_counts.pop(data_centre, None)
         self._outage_since.pop(data_centre, None)
 
-    def is_out(self, data_centre: str, now: float) -> bool:
+    def is_unreachable(self, data_centre: str, now: float) -> bool:
         """Return whether a data centre is taken as unreachable."""
         return now < self._outage_until.get(data_centre, float("-inf"))
--- a/traystall/passthrough/health/asking.py
+++ b/traystall/passthrough/health/notices.py
@@ -11,8 +11,8 @@
 from traystall.passthrough.dialect import HeaderNames
 from traystall.passthrough.exchange.connection import ResponseHead, TargetConnection
 from traystall.passthrough.health.board import TargetView
-from traystall.systems.rests import RETRY_AFTER, TURNED_AWAY, rest_seconds
-from traystall.systems.target_limits import read_limit
+from traystall.systems.retry_after import RETRY_AFTER, SERVICE_UNAVAILABLE, parse_retry_after
+from traystall.systems.target_limits import parse_limit
 
 # Another incarnation at the address responds with this status. Its notices do not concern the
 # requested one.
@@ -24,7 +24,7 @@
 _MAX_LOGGED_CHARACTERS = 40
 
 
-class AskingWatch:
+class TargetNoticeMonitor:
     """Process the notices in all responses, and log the start and end of backoff periods.
 
     `on_shutdown()` is called when a target announces that it shuts down.
@@ -36,23 +36,25 @@
         # Targets in a backoff period whose end is not yet logged, by incarnation.
         self._in_backoff: dict[str, TargetView] = {}
 
-    def heard(self, view: TargetView, connection: TargetConnection, head: ResponseHead) -> None:
+    def on_response_head(
+        self, view: TargetView, connection: TargetConnection, head: ResponseHead
+    ) -> None:
         """Process the notices in a response head."""
         if head.status == _MISDIRECTED:
             return
-        values = head.get_all(RETRY_AFTER) if head.status == TURNED_AWAY else []
-        seconds = rest_seconds(values, head.get("Date")) if values else 0.0
+        values = head.get_all(RETRY_AFTER) if head.status == SERVICE_UNAVAILABLE else []
+        seconds = parse_retry_after(values, head.get("Date")) if values else 0.0
         if seconds:
             self._start_backoff(view, connection, head, seconds, values)
         elif head.status < _FIRST_FAILURE_STATUS:
-            view.asked.on_answer(clock.monotonic())
+            view.availability.on_answer(clock.monotonic())
         self._process_limit(view, connection, head)
-        if head.get(self._names.leaving) not in (None, "", "0") and not view.asked.leaves:
+        if head.get(self._names.leaving) not in (None, "", "0") and not view.availability.leaves:
             self._process_shutdown(view, head)
 
-    def sent(self, view: TargetView, connection: TargetConnection) -> None:
+    def on_request_sent(self, view: TargetView, connection: TargetConnection) -> None:
         """Count requests that violate a backoff period or a rate limit; both counts should be 0."""
-        if view.asked.rests(clock.monotonic()):
+        if view.availability.is_backing_off(clock.monotonic()):
             metrics.sent_in_rest_total.inc({"pool": view.report.pool})
         if view.limit.is_limited and not connection.sent_request.is_covered:
             metrics.sent_beyond_limit_total.inc({"pool": view.report.pool})
@@ -61,11 +63,11 @@
         """Log the backoff periods that are over, and publish the gauges."""
         now = clock.monotonic()
         for life, view in list(self._in_backoff.items()):
-            if not view.asked.rests(now):
+            if not view.availability.is_backing_off(now):
                 del self._in_backoff[life]
                 decision("target-rested", target=life, pool=view.report.pool)
         metrics.resting_targets.set({}, len(self._in_backoff))
-        metrics.leaving_targets.set({}, sum(view.asked.leaves for view in views))
+        metrics.leaving_targets.set({}, sum(view.availability.leaves for view in views))
 
     def _process_limit(self, view, connection, head):
         """Process the rate limit in a response, or its absence.
@@ -76,9 +78,9 @@
         if view.permits is None:
             return
         values = head.get_all(self._names.limit)
-        if not values and not view.limit.was_named:
+        if not values and not view.limit.has_been_limited:
             return
-        word = read_limit(values)
+        word = parse_limit(values)
         if word is None:
             return
         sent_request = connection.sent_request
@@ -90,13 +92,13 @@
             return
         if word.per_second is not None:
             view.limit_connection = connection
-        view.permits.hear(view.report.life, word, sent_request.sent_at, answered or "")
+        view.permits.observe_answer(view.report.life, word, sent_request.sent_at, answered or "")
 
     def _start_backoff(self, view, connection, head, seconds, values):
         request = self._request_id(head)
         now = clock.monotonic()
-        was_resting = view.asked.rests(now)
-        if not view.asked.ask_rest(seconds, request, now):
+        was_resting = view.availability.is_backing_off(now)
+        if not view.availability.request_backoff(seconds, request, now):
             return
         view.backoff_connection = connection
         self._in_backoff[view.report.life] = view
@@ -112,7 +114,7 @@
             )
 
     def _process_shutdown(self, view, head):
-        view.asked.leaves = True
+        view.availability.leaves = True
         decision(
             "target-leaves",
             target=view.report.life,
--- a/traystall/passthrough/health/pages.py
+++ b/traystall/passthrough/health/pages.py
@@ -18,7 +18,7 @@
 _JSON = [(b"Content-Type", b"application/json")]
 
 
-class RestPages:
+class BackoffPages:
     """Serve GET /v1/rests and DELETE /v1/rests/TARGET.
 
     GET lists the targets in a backoff period and those that shut down; DELETE ends the backoff
@@ -37,8 +37,14 @@
 
     async def _list(self, request: Request, _: str) -> Response:
         now = clock.monotonic()
-        asked = [view for view in self._board.views() if view.asked.rests(now) or view.asked.leaves]
-        return _json_response(200, {"targets": [_backoff_document(view, now) for view in asked]})
+        availability = [
+            view
+            for view in self._board.views()
+            if view.availability.is_backing_off(now) or view.availability.leaves
+        ]
+        return _json_response(
+            200, {"targets": [_backoff_document(view, now) for view in availability]}
+        )
 
     async def _lift(self, request: Request, target: str) -> Response:
         if not self._is_authorized(request):
@@ -50,8 +56,8 @@
             return _json_response(
                 404, {"code": "no-target", "detail": f"No target is named '{target}'."}
             )
-        lifted = view.asked.rests(clock.monotonic())
-        view.asked.lift()
+        lifted = view.availability.is_backing_off(clock.monotonic())
+        view.availability.lift()
         decision("rest-lifted", target=view.report.life, lifted=lifted)
         return _json_response(200, {"lifted": lifted})
 
@@ -90,10 +96,10 @@
             "data_centre": report.data_centre,
             "per_second": limit.per_second,
             "limited_seconds": round(now - limit.since, 3),
-            "told_by": limit.told_by,
+            "told_by": limit.source,
             "closed_seconds": round(max(0.0, limit.closed_until - now), 3),
             "lenders": self._permits.ranks.lenders(report.life, report.data_centre),
-            "lent_here": self._permits.lent(report.life),
+            "lent_here": self._permits.granted_count(report.life),
         }
 
 
@@ -103,9 +109,9 @@
         "life": view.report.life,
         "pool": view.report.pool,
         "data_centre": view.report.data_centre,
-        "rests_seconds": round(max(0.0, view.asked.rest_until - now), 3),
-        "leaves": view.asked.leaves,
-        "request": view.asked.request,
+        "rests_seconds": round(max(0.0, view.availability.backoff_until - now), 3),
+        "leaves": view.availability.leaves,
+        "request": view.availability.request,
     }
 
 
--- a/traystall/passthrough/health/probing.py
+++ b/traystall/passthrough/health/probing.py
@@ -19,7 +19,7 @@
 _PROBED_GATEWAYS = 2
 
 
-class PlaceProber:
+class DataCentreProber:
     """Ping gateways in each unreachable data centre."""
 
     def __init__(self, context: PassContext, links: LinkPool):
@@ -30,7 +30,7 @@
         """Probe all unreachable data centres at a fixed interval."""
         while True:
             await asyncio.sleep(_PROBE_INTERVAL_SECONDS)
-            for data_centre in self._context.places.suspected():
+            for data_centre in self._context.places.unreachable():
                 await self.probe(data_centre)
 
     async def probe(self, data_centre: str) -> None:
@@ -43,10 +43,10 @@
         chosen = self._context.random.sample(rows, min(_PROBED_GATEWAYS, len(rows)))
         heard = await asyncio.gather(*(self._ping(row.rpc_address) for row in chosen))
         if any(heard):
-            self._context.places.on_heard(data_centre)
+            self._context.places.on_response(data_centre)
             decision("data-centre-heard", of=data_centre)
         elif chosen:
-            self._context.places.extend(data_centre, clock.monotonic())
+            self._context.places.extend_outage(data_centre, clock.monotonic())
 
     async def _ping(self, address) -> bool:
         request = PingRequest(sender=self._context.identity)
--- a/traystall/passthrough/ownership/owners.py
+++ b/traystall/passthrough/ownership/owners.py
@@ -36,7 +36,9 @@
     return f"batch {cell}" if cell else "batch"
 
 
-def rank(rows: list[GatewayRow], key: str, now: float, near: tuple[str, ...] = ()) -> list[str]:
+def rank_owners(
+    rows: list[GatewayRow], key: str, now: float, near: tuple[str, ...] = ()
+) -> list[str]:
     """Return the identities of gateways in the order in which they own `key`.
 
     Where data centres are named as `near`, gateways inside them go first. Of these the large ones
@@ -50,7 +52,7 @@
     return rendezvous_order(key, large) + rendezvous_order(key, small)
 
 
-class Owners:
+class OwnerSelector:
     """Agree with the other gateways, without talking, on who owns what."""
 
     def __init__(self, context):
@@ -62,7 +64,7 @@
         """Return the directory row of the owner of `key`, or None if it is this gateway."""
         now = clock.monotonic()
         rows = self._candidates(now)
-        order = rank(rows, key, now, near)
+        order = rank_owners(rows, key, now, near)
         if not order or order[0] == self._context.identity:
             return None
         return self._known[order[0]][0]
@@ -75,7 +77,7 @@
         self._left_out[identity] = now + seconds
         known = self._known.get(identity)
         if known is not None and isinstance(error, RpcTimeout):
-            self._context.places.on_silent(known[0].data_centre, identity, now)
+            self._context.places.on_no_response(known[0].data_centre, identity, now)
 
     def _candidates(self, now) -> list[GatewayRow]:
         for row in self._context.follower.directory:
@@ -93,5 +95,5 @@
             for identity, (row, _) in self._known.items()
             if row.state == "serving"
             and self._left_out.get(identity, 0.0) <= now
-            and not self._context.places.is_out(row.data_centre, now)
+            and not self._context.places.is_unreachable(row.data_centre, now)
         ]
--- a/traystall/passthrough/placement/choice.py
+++ b/traystall/passthrough/placement/choice.py
@@ -62,11 +62,13 @@
 
 def _untried(candidates, excluded):
     return [
-        view for view in candidates if view.identity not in excluded and view.connections.has_room()
+        view
+        for view in candidates
+        if view.identity not in excluded and view.connections.has_free_connection()
     ]
 
 
 def _load(view, data_centre, mean, now):
-    ratio = max(_NOISE_SECONDS, view.usual_seconds(mean, now)) / max(_NOISE_SECONDS, mean)
+    ratio = max(_NOISE_SECONDS, view.expected_seconds(mean, now)) / max(_NOISE_SECONDS, mean)
     distance = 1.0 if view.report.data_centre == data_centre else _DISTANCE
     return (view.running + _OWN_WEIGHT) * ratio * distance / max(1, view.report.slots)
--- a/traystall/passthrough/placement/placing.py
+++ b/traystall/passthrough/placement/service.py
@@ -30,7 +30,7 @@
 logger = logging.getLogger(__name__)
 
 
-class Placing:
+class PlacementService:
     """Place prompts on engines, for this gateway and for those that ask it."""
 
     def __init__(self, context, links: LinkPool):
@@ -41,7 +41,7 @@
         self._retain_due = 0.0
         self._late = 0
 
-    async def choose(self, passed: PassRequest, book: bool) -> TargetView | None:
+    async def choose_engine(self, passed: PassRequest, book: bool) -> TargetView | None:
         """Return the engine for a request; `book` counts the prompt as being read there."""
         request = PlaceRequest(
             pool=passed.pool,
@@ -49,7 +49,7 @@
             parts=[part.name for part in passed.prompt.parts],
             sizes=[part.tokens for part in passed.prompt.parts],
             tokens=passed.prompt.tokens,
-            data_centre=passed.home,
+            data_centre=passed.stages_data_centre,
             input_bytes=passed.input_bytes,
             excluded=sorted(passed.tried | self._held_back(passed.pool)),
             book=book,
@@ -59,17 +59,17 @@
         if owner is not None:
             view = await self._ask(owner, request)
             if view is not None:
-                passed.placed_at = owner.rpc_address
+                passed.placer_address = owner.rpc_address
                 return view
-        passed.placed_at = ""
-        reply = self._place(request, for_all=owner is None)
+        passed.placer_address = ""
+        reply = self._place(request, as_coordinator=owner is None)
         return self._context.board.view(reply.identity) if reply.identity else None
 
-    def place_here(self, request: PlaceRequest) -> PlaceReply:
+    def place_for_peer(self, request: PlaceRequest) -> PlaceReply:
         """Place a prompt for another gateway."""
-        return self._place(request, for_all=True)
+        return self._place(request, as_coordinator=True)
 
-    def _place(self, request, *, for_all) -> PlaceReply:
+    def _place(self, request, *, as_coordinator) -> PlaceReply:
         """Place a prompt by what this gateway knows; `for_all` if it places for all gateways."""
         now = clock.monotonic()
         placer = self._placer(request.pool, now)
@@ -84,11 +84,11 @@
             request.input_bytes or 0,
         )
         places = tuple(request.places or ())
-        choices = self._choices(request.pool, set(request.excluded or ()), places, for_all)
+        choices = self._choices(request.pool, set(request.excluded or ()), places, as_coordinator)
         if request.book:
             identity = placer.place(placement, choices, now)
             if identity:
-                self._context.cold.note_sent(self._context.board.view(identity))
+                self._context.cold.record_sent(self._context.board.view(identity))
             return PlaceReply(identity=identity)
         return PlaceReply(identity=placer.likely(placement, choices, now))
 
@@ -100,7 +100,7 @@
         """Tell that a request's attempt is over."""
         self._tell(passed, _ENDED)
 
-    def note_here(self, note: PlaceNote) -> None:
+    def on_place_note(self, note: PlaceNote) -> None:
         """Take in what became of a placement."""
         now = clock.monotonic()
         placer = self._placer(note.pool, now)
@@ -123,16 +123,16 @@
             return None
         self._late = 0
         view = self._context.board.view(reply.identity or "")
-        if view is None or view.is_misplaced or self._context.is_evacuated(view):
+        if view is None or view.is_replaced or self._context.is_evacuated(view):
             return None
         now = clock.monotonic()
-        if not view.connections.has_room() or now < view.avoid_until:
+        if not view.connections.has_free_connection() or now < view.avoid_until:
             return None
         # The other gateway may not know that it leaves, and what it asks here binds only this one.
-        return view if view.may_get_work(now) else None
+        return view if view.may_send_work(now) else None
 
     def _held_back(self, pool) -> set[str]:
-        return self._context.board.held_back(pool, clock.monotonic())
+        return self._context.board.unavailable(pool, clock.monotonic())
 
     def _on_error(self, owner, error):
         """Leave a placer out that is gone, or that has been late several times in a row.
@@ -147,9 +147,9 @@
     def _tell(self, passed, what):
         """Tell who placed a request, whoever places now: only there it is counted."""
         note = PlaceNote(pool=passed.pool, request_id=passed.request_id, what=what)
-        self.note_here(note)
-        if passed.placed_at:
-            task = asyncio.create_task(self._send(self._links.link(passed.placed_at), note))
+        self.on_place_note(note)
+        if passed.placer_address:
+            task = asyncio.create_task(self._send(self._links.link(passed.placer_address), note))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
@@ -169,13 +169,13 @@
             self._context.cold.retain()
         return placer
 
-    def _choices(self, pool, excluded, places, for_all) -> list[EngineChoice]:
+    def _choices(self, pool, excluded, places, as_coordinator) -> list[EngineChoice]:
         found = self._context.index.pools.get(pool)
         memory = found.engine.memory_tokens if found and found.engine else 0
         return [
             EngineChoice(view.identity, view.report.data_centre, memory, view.ratio)
-            for view in self._context.usable(pool, places, closed_too=for_all)
+            for view in self._context.usable(pool, places, include_closed=as_coordinator)
             if view.identity not in excluded
-            and view.connections.has_room()
-            and self._context.cold.may_send(view, for_all=for_all)
+            and view.connections.has_free_connection()
+            and self._context.cold.may_send(view, as_coordinator=as_coordinator)
         ]
--- a/traystall/passthrough/stages/batcher.py
+++ b/traystall/passthrough/stages/batcher.py
@@ -14,7 +14,11 @@
 from traystall.core import clock, metrics
 from traystall.core.exceptions import RpcError
 from traystall.core.logs import decision
-from traystall.passthrough.admission.book import AdmissionBook, Arrival, Verdict
+from traystall.passthrough.admission.controller import (
+    AdmissionController,
+    AdmissionDecision,
+    AdmissionRequest,
+)
 from traystall.passthrough.context import PassContext
 from traystall.passthrough.stages.cells import cell_of
 from traystall.passthrough.stages.homes import StageHome, home_of_stage
@@ -57,12 +61,12 @@
         self._links = links
         # By cell and pool, and by cell.
         self._queues: dict[tuple[str, str], PieceQueue] = {}
-        self._books: dict[str, AdmissionBook] = {}
+        self._books: dict[str, AdmissionController] = {}
         # By cell, how long the queues of its shared pools were, and when that was told.
         self._waits: dict[str, tuple[dict[str, float], float]] = {}
         # Calls whose requests came back and wait to be let in.
         self._wait_for_room: set[str] = set()
-        self._releases = Releases(context, links, self.freed_here)
+        self._releases = Releases(context, links, self.on_results_freed)
         self._tasks: set[asyncio.Task] = set()
 
     async def run(self, request: StageRequest) -> StageReply:
@@ -82,9 +86,9 @@
                 self._waits[self._cell(request)] = (reply.waits, clock.monotonic())
             return reply
         self._pass_on(request)
-        return await self.run_here(request)
+        return await self.run_locally(request)
 
-    def waits_told(self) -> dict[str, dict[str, float]]:
+    def latest_queue_waits(self) -> dict[str, dict[str, float]]:
         """Return how long the queues of shared pools were, by cell, as this gateway was told."""
         return {cell: waits for cell, (waits, _) in self._waits.items()}
 
@@ -105,12 +109,12 @@
             why=str(error),
         )
 
-    async def run_here(self, request: StageRequest) -> StageReply:
+    async def run_locally(self, request: StageRequest) -> StageReply:
         """Batch the pieces of one stage at this gateway, or refuse a request that begins."""
         cell = self._cell(request)
         if request.waits:
             age = request.waits_age or 0.0
-            self._book(cell).take_over(request.waits, age, clock.monotonic())
+            self._book(cell).merge_peer_waits(request.waits, age, clock.monotonic())
         verdict = await self._let_in(request, cell)
         if not verdict.admitted:
             rest = self._rest(request)
@@ -123,7 +127,7 @@
                 waits=self._book(cell).waits(clock.monotonic()) or None,
             )
         book = self._book(cell)
-        book.asked(request.request_id, request.stage)
+        book.requested(request.request_id, request.stage)
         reply = await self._queue(cell, request.pool).run(request, self._home(request))
         now = clock.monotonic()
         reply.waits = book.waits(now) or None
@@ -133,14 +137,14 @@
 
     def _rest(self, request) -> float:
         """Return how long a pool of its stages rests as a whole, in seconds; 0 if none does."""
-        route = self._context.index.named(request.route)
+        route = self._context.index.route_named(request.route)
         pools = {stage.pool for stage in route.stages} if route is not None else set()
         places = tuple(request.places or ())
-        return max((self._context.rest_left(pool, places) for pool in pools), default=0.0)
+        return max((self._context.backoff_left(pool, places) for pool in pools), default=0.0)
 
     def _home(self, request) -> StageHome:
         """Return where a stage is best made, by where its inputs lie and who reads its results."""
-        route = self._context.index.named(request.route)
+        route = self._context.index.route_named(request.route)
         counts = request.counts or []
         if route is None or len(counts) != len(route.stages):
             return StageHome(request.data_centre or "", request.away_bytes or 0)
@@ -164,7 +168,7 @@
 
     def _usual_seconds(self, request) -> float:
         """Return how long the longest chain of a request takes without waiting."""
-        route = self._context.index.named(request.route)
+        route = self._context.index.route_named(request.route)
         if route is None:
             return 0.0
         ends: list[float] = []
@@ -194,7 +198,7 @@
         """Answer that this gateway is there."""
         return PingReply(identity=self._context.identity)
 
-    def freed_here(self, pool: str, handles: list[str]) -> None:
+    def on_results_freed(self, pool: str, handles: list[str]) -> None:
         """Take in that results of a pool were given up."""
         for (_, name), queue in self._queues.items():
             if name == pool:
@@ -210,10 +214,10 @@
         while clock.monotonic() < deadline and any(q.is_busy() for q in self._queues.values()):
             await asyncio.sleep(0.02)
 
-    def pump(self) -> None:
+    def dispatch(self) -> None:
         """Call targets that have come free or are new."""
         for queue in self._queues.values():
-            queue.pump()
+            queue.dispatch()
 
     def close(self) -> None:
         """End what is under way."""
@@ -266,7 +270,7 @@
 
     # ---- this gateway batches ----
 
-    async def _let_in(self, request, cell) -> Verdict:
+    async def _let_in(self, request, cell) -> AdmissionDecision:
         """Return the verdict on a request, which may wait a while for it."""
         verdict = self._admit(request, cell, 0.0)
         if verdict.admitted or request.refuse_at_once:
@@ -274,7 +278,7 @@
         began = clock.monotonic()
         patience = self._patience(request, verdict)
         waited = 0.0
-        if self._rest(request) > patience or verdict.seconds_to_turn > patience:
+        if self._rest(request) > patience or verdict.seconds_to_admission > patience:
             # Nothing that could happen meanwhile would let it in.
             self._refuse(request, cell, verdict, waited)
             return verdict
@@ -301,11 +305,11 @@
         """
         if verdict.came_back and not verdict.shared:
             return (request.seconds_left or 0.0) * _WAIT_PART
-        route = self._context.index.named(request.route)
+        route = self._context.index.route_named(request.route)
         return route.aim * _ADMISSION_PART if route is not None else 0.0
 
     def _refuse(self, request, cell, verdict, waited):
-        self._book(cell).refuse(request.mark or "", clock.monotonic())
+        self._book(cell).record_refusal(request.mark or "", clock.monotonic())
         metrics.not_admitted_total.inc({"route": request.route or "", "pool": verdict.binding})
         decision(
             "not-admitted",
@@ -325,12 +329,12 @@
             retry_after=round(verdict.retry_after, 3),
         )
 
-    def _admit(self, request, cell, waited) -> Verdict:
-        route = self._context.index.named(request.route)
+    def _admit(self, request, cell, waited) -> AdmissionDecision:
+        route = self._context.index.route_named(request.route)
         if route is None or len(request.counts or ()) != len(route.stages):
-            return Verdict(True, 0.0)
+            return AdmissionDecision(True, 0.0)
         now = clock.monotonic()
-        arrival = Arrival(
+        arrival = AdmissionRequest(
             request_id=request.request_id,
             route=route,
             counts=tuple(request.counts),
@@ -351,8 +355,8 @@
                 metrics.shared_pool_wait.set({"pool": pool}, wait)
         return verdict
 
-    def _book(self, cell) -> AdmissionBook:
-        return self._books.setdefault(cell, AdmissionBook())
+    def _book(self, cell) -> AdmissionController:
+        return self._books.setdefault(cell, AdmissionController())
 
     def _end(self, request_id):
         for book in self._books.values():
--- a/traystall/passthrough/stages/batching.py
+++ b/traystall/passthrough/stages/batching.py
@@ -140,7 +140,7 @@
     return not late_anyway and first.due <= now + wait + _SLACK_SECONDS
 
 
-def take_batch(
+def select_batch(
     waiting: list[PieceJob],
     profile: BatchProfile,
     room: float,
--- a/traystall/passthrough/stages/cells.py
+++ b/traystall/passthrough/stages/cells.py
@@ -17,7 +17,7 @@
 from traystall.systems.rendezvous import rendezvous_order
 
 # The whole system as one cell.
-WHOLE = ""
+WHOLE_SYSTEM = ""
 # Each pool needs so many workers for each cell, as a mean, and so many in all before any split.
 # With three workers a split in two would leave one of them alone with half of the pieces.
 _WORKERS_PER_CELL = 1.5
@@ -45,7 +45,7 @@
         for name, inside in self.members.items():
             if data_centre in inside:
                 return name
-        return WHOLE
+        return WHOLE_SYSTEM
 
 
 def batching_cells(pools: Iterable[Counter[str]]) -> Cells:
@@ -66,7 +66,7 @@
 def cell_of(request_id: str, data_centre: str, cells: Cells) -> str:
     """Return the cell that makes the pieces of a request whose results `data_centre` reads."""
     if not cells:
-        return WHOLE
+        return WHOLE_SYSTEM
     return cells.of(data_centre) or rendezvous_order(request_id, cells.names())[0]
 
 
@@ -118,14 +118,14 @@
     return {name: part / whole for name, part in least.items()} if whole else {}
 
 
-def other_cell(request_id: str, tried: str, cells: Cells, places: tuple[str, ...]) -> str:
+def fallback_cell(request_id: str, tried: str, cells: Cells, places: tuple[str, ...]) -> str:
     """Return a cell to try after `tried`, inside `places` if any are named; WHOLE if none is."""
     left = [
         name
         for name, inside in cells.members.items()
         if name != tried and (not places or set(inside).intersection(places))
     ]
-    return rendezvous_order(request_id, left)[0] if left else WHOLE
+    return rendezvous_order(request_id, left)[0] if left else WHOLE_SYSTEM
 
 
 def _are_enough(groups, pools):
--- a/traystall/passthrough/stages/chain.py
+++ b/traystall/passthrough/stages/chain.py
@@ -6,7 +6,7 @@
 from traystall.core.exceptions import GatewayError
 from traystall.core.ids import new_id
 from traystall.passthrough.entry.request import MadeStage
-from traystall.quarantine.ends import REFUSED
+from traystall.quarantine.ends import NOT_LISTENING
 from traystall.rpc.gen.wire.ttypes import StageRequest
 
 # The reason of a piece whose inputs are lost.
@@ -26,7 +26,7 @@
         super().__init__(detail)
 
 
-class InputsGone(StageFailed):
+class InputsLost(StageFailed):
     """Report results that were lost with their worker: the stages have to be run again."""
 
 
@@ -63,7 +63,7 @@
             for task in tasks.values():
                 task.cancel()
             await asyncio.gather(*tasks.values(), return_exceptions=True)
-            self._context.batcher.abandon(self._passed.request_id, self._passed.home)
+            self._context.batcher.abandon(self._passed.request_id, self._passed.stages_data_centre)
             raise
         return tuple(
             handle
@@ -98,7 +98,7 @@
             priority=passed.priority,
             result_bytes=plan.result_bytes,
             call_id=new_id(),
-            data_centre=passed.home,
+            data_centre=passed.stages_data_centre,
             route=passed.route.name,
             counts=passed.piece_counts,
             mark=passed.mark,
@@ -111,7 +111,7 @@
         began = clock.monotonic()
         reply = await self._context.batcher.run(request)
         for life in reply.ended or ():
-            self._context.guard.ended(passed.guarded, plan.pool, life, REFUSED)
+            self._context.guard.ended(passed.guarded, plan.pool, life, NOT_LISTENING)
         if all(reply.handles):
             self._note_made(index, clock.monotonic() - began, reply)
             self._context.learn_stage(plan.pool, clock.monotonic() - began)
@@ -120,7 +120,7 @@
             reasons = sorted({reason for reason in reply.reasons if reason})
             detail = f"Stage {index} was not made: {', '.join(reasons)}."
             if GONE in reasons:
-                raise InputsGone(detail)
+                raise InputsLost(detail)
             raise StageFailed(detail, reply.retry_after)
         self._free_read(index)
 
--- a/traystall/passthrough/stages/pace.py
+++ b/traystall/passthrough/stages/pace.py
@@ -12,7 +12,7 @@
 _DISTANCE_PART = 0.8
 
 
-def begins_at(
+def next_call_time(
     last_began: float, call_seconds: float, targets: int, waiting: int, batch: int
 ) -> float:
     """Return from when on the next call of a pool begins.
--- a/traystall/passthrough/stages/piece_calls.py
+++ b/traystall/passthrough/stages/piece_calls.py
@@ -30,10 +30,10 @@
         async with Attempt(view, context.names, None) as attempt:
             await attempt.open(float("inf"))
             attempt.send(request_bytes(call, view.report.address, headers))
-            answer = await attempt.read_whole()
+            answer = await attempt.read_response()
     if attempt.has_not_run():
         if answer.head.status == _MISDIRECTED:
-            view.is_misplaced = True
+            view.is_replaced = True
         view.avoid_until = max(view.avoid_until, clock.monotonic() + _PAUSE_SECONDS)
         return [PieceResult(reason=FULL)] * len(batch)
     if answer.head.status != 200:
--- a/traystall/passthrough/stages/piece_queue.py
+++ b/traystall/passthrough/stages/piece_queue.py
@@ -10,10 +10,10 @@
 from traystall.passthrough.admission.forecast import PoolLoad
 from traystall.passthrough.dialect import PieceResult
 from traystall.passthrough.exceptions import ConnectionBroken, ExchangeError, TargetHeldBack
-from traystall.passthrough.stages.batching import FreeTarget, PieceJob, set_apart, take_batch
-from traystall.passthrough.stages.cells import WHOLE
+from traystall.passthrough.stages.batching import FreeTarget, PieceJob, select_batch, set_apart
+from traystall.passthrough.stages.cells import WHOLE_SYSTEM
 from traystall.passthrough.stages.homes import StageHome
-from traystall.passthrough.stages.pace import begins_at
+from traystall.passthrough.stages.pace import next_call_time
 from traystall.passthrough.stages.piece_calls import FULL, UNREACHABLE, call_worker
 from traystall.passthrough.stages.room_watch import RoomWatch
 from traystall.passthrough.stages.stage_call import MOST_ENDS, StageCall, to_job
@@ -47,7 +47,7 @@
     In a cell only the targets of its data centres are called, as long as there are any.
     """
 
-    def __init__(self, context, pool: str, cell: str = WHOLE):
+    def __init__(self, context, pool: str, cell: str = WHOLE_SYSTEM):
         self._context = context
         self._pool = pool
         self._cell = cell
@@ -58,7 +58,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._is_pumping = False
         self._since = clock.monotonic()
-        self._room_watch = RoomWatch(context, self.pump)
+        self._room_watch = RoomWatch(context, self.dispatch)
         # Requests whose pieces go alone and are under way: of each one call at a time.
         self._alone: set[str] = set()
         # How fast the pool is, as it was worked out a moment ago.
@@ -80,7 +80,7 @@
         self._calls[request.call_id] = call
         self._context.budget(self._pool).on_request(now)
         self._waiting += [to_job(request, home, piece, now) for piece in request.pieces]
-        self.pump()
+        self.dispatch()
         try:
             async with asyncio.timeout(max(0.0, request.seconds_left)):
                 await call.done
@@ -108,7 +108,7 @@
             worker = self._workers.get(self._context.stage_dialect.worker(handle))
             if worker is not None:
                 worker.book.free(handle, clock.monotonic())
-        self.pump()
+        self.dispatch()
 
     def is_busy(self) -> bool:
         """Return whether somebody waits for pieces of this queue."""
@@ -139,9 +139,9 @@
         profile = self._profile()
         if profile is None:
             return 0.0
-        return self._rate_of(self._usable(closed_too=True), profile, now)
+        return self._rate_of(self._usable(include_closed=True), profile, now)
 
-    def pump(self) -> None:
+    def dispatch(self) -> None:
         """Give every free target its next call, once for all that happens in a turn of the loop.
 
         Each look costs 1 to 4 ms with 500 to 2,000 pieces waiting; in a burst there are
@@ -174,7 +174,7 @@
             target = FreeTarget(place, workers, home_waits, home_rates, self._lacks(place))
             started = frozenset(name for name, call in self._calls.items() if call.started)
             waiting = [job for job in self._waiting if job.request_id not in self._alone]
-            batch = set_apart(take_batch(waiting, profile, room, now, target, started))
+            batch = set_apart(select_batch(waiting, profile, room, now, target, started))
             if batch:
                 self._begin(view, worker, batch, profile, now)
         if self._waiting:
@@ -187,14 +187,16 @@
         # Calls of slow targets last longer, but the others shall not stand idle for them.
         usual = min(self._call_seconds or profile.seconds(1), profile.seconds(profile.batch))
         waiting = len(self._waiting)
-        return begins_at(self._last_began, usual, workers, waiting, profile.batch) - now
+        return next_call_time(self._last_began, usual, workers, waiting, profile.batch) - now
 
     def _give_up_at_rest(self, now):
         """Answer at once who waits for pieces whose targets all rest until it is too late."""
-        if not any(view.asked.rests(now) for view in self._context.board.pool(self._pool)):
+        if not any(
+            view.availability.is_backing_off(now) for view in self._context.board.pool(self._pool)
+        ):
             return
         places = {job.places for job in self._waiting}
-        rests = {named: self._context.rest_left(self._pool, named) for named in places}
+        rests = {named: self._context.backoff_left(self._pool, named) for named in places}
         for job in self._waiting:
             call = self._calls.get(job.call_id)
             rest = rests[job.places]
@@ -202,7 +204,7 @@
                 call.retry_after = self._context.after_rest(rest)
                 call.close(job.piece, "", RESTING)
 
-    def _usable(self, closed_too=False):
+    def _usable(self, include_closed=False):
         """Return the targets that may be called; those of other cells only if it has none.
 
         One that takes no more for a moment is still there: its cell waits for it, rather than call
@@ -210,8 +212,8 @@
         """
         context, pool = self._context, self._pool
         inside = context.cells().data_centres(self._cell)
-        places = inside if context.usable(pool, inside, closed_too=True) else ()
-        return context.usable(pool, places, closed_too)
+        places = inside if context.usable(pool, inside, include_closed=True) else ()
+        return context.usable(pool, places, include_closed)
 
     def _rate_of(self, views, profile, now):
         """Return how many pieces a second targets make with the calls that they take."""
@@ -238,7 +240,7 @@
     def _home_rates(self, profile, now) -> dict[str, float]:
         """Return for each data centre how many pieces a second its targets make."""
         found: dict[str, list] = {}
-        for view in self._usable(closed_too=True):
+        for view in self._usable(include_closed=True):
             found.setdefault(view.report.data_centre, []).append(view)
         return {place: self._rate_of(views, profile, now) for place, views in found.items()}
 
@@ -263,7 +265,7 @@
             for view, worker in known
             if worker.calls < profile.slots
             and now >= max(view.avoid_until, worker.wait_until)
-            and self._context.cold.may_send(view, for_all=batches_for_all)
+            and self._context.cold.may_send(view, as_coordinator=batches_for_all)
             and worker.is_worth_calling(profile, len(self._waiting), sound, now)
         ]
         return sorted(free, key=lambda pair: (pair[1].ratio, pair[0].identity))
@@ -281,7 +283,7 @@
         self._last_began = now
         # Counted here, not in the task: until that runs the target would look free.
         worker.began(now, size, profile.seconds(len(batch)))
-        self._context.cold.note_sent(view)
+        self._context.cold.record_sent(view)
         self._spawn(self._call(view, worker, batch, profile, size))
 
     def _keep_together(self, batch, data_centre):
@@ -301,10 +303,10 @@
         )
         try:
             results = await call_worker(self._context, view, batch, expected)
-            self._context.places.on_heard(view.report.data_centre)
+            self._context.places.on_response(view.report.data_centre)
             now = clock.monotonic()
             seconds = now - began
-            worker.learn(seconds, expected)
+            worker.update_ratio(seconds, expected)
             view.on_success(seconds, now)
             self._call_seconds += _CALL_LEARNING * (seconds - (self._call_seconds or seconds))
             self._call_seconds = self._call_seconds or seconds
@@ -338,7 +340,7 @@
             expected=round(expected, 4),
             made=sum(1 for result in results if result.handle),
         )
-        self.pump()
+        self.dispatch()
 
     async def _look_into_end(self, view, batch, error):
         """Note the end of a target under the pieces that it made; they are made alone from now on.
@@ -348,7 +350,7 @@
         broke = isinstance(error, ConnectionBroken) and error.sent and not error.silent
         if not broke or not view.is_ready:
             return
-        target = view.watched(lambda: self._context.board.sign_of_end(view))
+        target = view.watched(lambda: self._context.board.end_evidence(view))
         if not await self._context.guard.ends.has_ended(target):
             return
         calls = {job.call_id for job in batch}
@@ -360,7 +362,7 @@
 
     def _ask_elsewhere(self, view, worker, batch, expected):
         """Ask for the pieces of an overdue call again; the first result of each counts."""
-        worker.learn(overdue_after(expected, True), expected)
+        worker.update_ratio(overdue_after(expected, True), expected)
         copies = [
             msgspec.structs.replace(job, tries=job.tries + 1)
             for job in batch
@@ -370,7 +372,7 @@
         if allowed:
             decision("pieces-overdue", target=view.identity, pieces=len(allowed))
             self._waiting += allowed
-            self.pump()
+            self.dispatch()
 
     def _is_open(self, job) -> bool:
         call = self._calls.get(job.call_id)
@@ -397,7 +399,7 @@
             worker.is_room_known = False
             view.avoid_until = max(view.avoid_until, now + _PAUSE_SECONDS)
         else:
-            worker.book.on_taken()
+            worker.book.on_accepted()
         if unused:
             self._context.batcher.free(self._pool, unused)
 
@@ -432,7 +434,7 @@
 
     def _on_timer(self):
         self._timer = None
-        self.pump()
+        self.dispatch()
 
     def _spawn(self, coroutine):
         task = asyncio.create_task(coroutine)
--- a/traystall/passthrough/stages/releases.py
+++ b/traystall/passthrough/stages/releases.py
@@ -108,10 +108,10 @@
         """
         lifetime = self._result_lifetime(pool)
         began = clock.monotonic()
-        while (now := clock.monotonic()) < view.asked.rest_until:
-            if lifetime and view.asked.rest_until - began > lifetime:
+        while (now := clock.monotonic()) < view.availability.backoff_until:
+            if lifetime and view.availability.backoff_until - began > lifetime:
                 return False
-            await asyncio.sleep(view.asked.rest_until - now)
+            await asyncio.sleep(view.availability.backoff_until - now)
         return True
 
     async def _give_up_later(self, pool, handles, view):
@@ -169,7 +169,7 @@
                 await attempt.open(float("inf"))
                 headers = {self._context.names.expected_incarnation: view.identity}
                 attempt.send(request_bytes(call, worker, headers))
-                await attempt.read_whole()
+                await attempt.read_response()
         except TargetHeldBack:
             raise
         except (ExchangeError, TimeoutError) as error:
--- a/traystall/passthrough/stages/room.py
+++ b/traystall/passthrough/stages/room.py
@@ -7,7 +7,7 @@
 _LEARNING = 0.03
 
 
-class RoomBook:
+class ResultMemory:
     """Count what one worker holds: results until they are given up, calls under way as a whole."""
 
     def __init__(self):
@@ -22,7 +22,7 @@
         self._foreign = 0
         self._foreign_until = float("-inf")
 
-    def note_free(self, free: int, room: int, now: float, lifetime: float) -> int:
+    def record_free_bytes(self, free: int, room: int, now: float, lifetime: float) -> int:
         """Take in how much room the worker says it has left; return what others hold here."""
         self._foreign = 0
         self._foreign = max(0, room - free - self.taken(now))
@@ -63,7 +63,7 @@
         """Use less room: the worker had less left than was counted."""
         self.share = max(_MIN_SHARE, self.share * _SHRINK)
 
-    def on_taken(self) -> None:
+    def on_accepted(self) -> None:
         """Use a little more room again."""
         self.share = min(1.0, self.share + _GROW)
 
--- a/traystall/passthrough/stages/room_watch.py
+++ b/traystall/passthrough/stages/room_watch.py
@@ -56,7 +56,9 @@
         now = clock.monotonic()
         worker.is_room_known = True
         worker.wait_until = float("-inf")
-        foreign = worker.book.note_free(free, profile.room_bytes, now, profile.result_lifetime)
+        foreign = worker.book.record_free_bytes(
+            free, profile.room_bytes, now, profile.result_lifetime
+        )
         if foreign:
             decision("room", target=view.identity, free=free, foreign=foreign)
         self._on_answer()
@@ -67,7 +69,7 @@
         async with Attempt(view, self._context.names, None, is_work=False) as attempt:
             await attempt.open(float("inf"))
             attempt.send(request_bytes(dialect.report(), view.report.address, headers))
-            answer = await attempt.read_whole()
+            answer = await attempt.read_response()
         if answer.head.status != 200:
             raise ValueError(f"The target answered {answer.head.status}.")
         return dialect.free_bytes(answer.body)
--- a/traystall/passthrough/stages/workers.py
+++ b/traystall/passthrough/stages/workers.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from traystall.passthrough.stages.room import RoomBook
+from traystall.passthrough.stages.room import ResultMemory
 from traystall.routes.models import BatchProfile
 
 # A target that takes this many times what it should is left for pressing work.
@@ -21,7 +21,7 @@
 class Worker(msgspec.Struct, eq=False):
     """Hold one target: calls under way, room taken, and how slow it is."""
 
-    book: RoomBook = msgspec.field(default_factory=RoomBook)
+    book: ResultMemory = msgspec.field(default_factory=ResultMemory)
     calls: int = 0
     ratio: float = 1.0
     last_began: float = float("-inf")
@@ -48,7 +48,7 @@
         """Return how long it is still at work before it takes another call, in seconds."""
         return max(0.0, self.busy_until - now) if self.calls >= slots else 0.0
 
-    def learn(self, seconds: float, expected: float) -> None:
+    def update_ratio(self, seconds: float, expected: float) -> None:
         """Learn from how long a call took."""
         found = seconds / max(0.001, expected)
         weight = _LEARN_SLOWER if found > self.ratio else _LEARN_FASTER
--- a/traystall/permits/news.py
+++ b/traystall/permits/broadcast.py
@@ -20,7 +20,7 @@
 logger = logging.getLogger(__name__)
 
 
-class LimitTeller:
+class LimitBroadcaster:
     """Tell what is known of limits: the first lender tells every gateway, others the lenders."""
 
     def __init__(self, permits: Permits, links: LinkPool, rows, data_centre_of, lives):
@@ -35,7 +35,7 @@
         self._again_at: dict[str, float] = {}
         self._tasks: set[asyncio.Task] = set()
 
-    async def tell_forever(self) -> None:
+    async def run_forever(self) -> None:
         """Look again and again, and note who serves."""
         try:
             while True:
@@ -49,7 +49,7 @@
         """Tell what is new to whom it is new."""
         rows = [row for row in self._rows() if row.lends]
         now = clock.monotonic()
-        self._permits.note_serving()
+        self._permits.refresh_lenders()
         limits = self._permits.limits()
         if limits:
             self._permits.retain(self._lives())
--- a/traystall/permits/ranks.py
+++ b/traystall/permits/lenders.py
@@ -36,7 +36,7 @@
         return found
 
 
-class LenderRanks:
+class LenderRanking:
     """Rank the gateways, and tell what this one may lend."""
 
     def __init__(self, own: str, settle_seconds: float = SETTLE_SECONDS):
--- a/traystall/permits/permits.py
+++ b/traystall/permits/permits.py
@@ -9,7 +9,7 @@
 from traystall.core.exceptions import RpcError
 from traystall.core.logs import decision
 from traystall.permits.exceptions import PermitDenied
-from traystall.permits.ranks import LenderRanks
+from traystall.permits.lenders import LenderRanking
 from traystall.rpc.client import LinkPool
 from traystall.rpc.gen.wire.ttypes import (
     LimitNews,
@@ -19,7 +19,7 @@
     TargetLimitRecord,
 )
 from traystall.systems.permits import LentTarget
-from traystall.systems.target_limits import LimitWord
+from traystall.systems.target_limits import AnnouncedLimit
 from traystall.tables.gateways import GatewayRow
 from traystall.tables.target_limits import TargetLimit
 
@@ -67,12 +67,12 @@
         identity: str,
         rows: Callable[[], Iterable[GatewayRow]],
         random,
-        ranks: LenderRanks | None = None,
+        ranks: LenderRanking | None = None,
     ):
         self.identity = identity
         self.links: LinkPool | None = None
-        self.may_lend = True
-        self.ranks = ranks or LenderRanks(identity)
+        self.may_grant = True
+        self.ranks = ranks or LenderRanking(identity)
         self._rows = rows
         self._random = random
         self._limits: dict[str, TargetLimit] = {}
@@ -91,7 +91,7 @@
         """Return what is known of one life of a target; the same object each time."""
         return self._limits.setdefault(life, TargetLimit())
 
-    def adopt(self, life: str, limit: TargetLimit | None) -> TargetLimit:
+    def register_incarnation(self, life: str, limit: TargetLimit | None) -> TargetLimit:
         """Return what is known of a life that is new here; `limit` if it has said that itself.
 
         A life may be known late, after its first answers have come.
@@ -104,11 +104,11 @@
         """Return what is known of those that have ever named a limit, by the names of lives."""
         return self._named
 
-    def lent(self, life: str) -> int:
+    def granted_count(self, life: str) -> int:
         """Return how many requests to a life of a target were lent here."""
-        return self._lent[life].lent if life in self._lent else 0
+        return self._lent[life].granted_count if life in self._lent else 0
 
-    def hear(self, life: str, word: LimitWord, sent_at: float, request: str) -> None:
+    def observe_answer(self, life: str, word: AnnouncedLimit, sent_at: float, request: str) -> None:
         """Take in what an answer says to a request that was sent at `sent_at`."""
         limit = self.limit(life)
         before = limit.per_second
@@ -122,7 +122,7 @@
         if changed or (word.per_second is None and limit.confirm_end(sent_at)):
             self.heard.add(life)
 
-    def take_news(self, news: LimitNews) -> None:
+    def merge_limits(self, news: LimitNews) -> None:
         """Take in what another gateway knows."""
         for record in news.limits or ():
             self._take_record(record, news.sender or "")
@@ -162,10 +162,10 @@
             target=life,
             per_second=after,
             before=before,
-            by=limit.told_by,
+            by=limit.source,
         )
 
-    def note_serving(self) -> None:
+    def refresh_lenders(self) -> None:
         """Note who serves now: of these two lend."""
         self.ranks.note(self._rows(), clock.monotonic())
 
@@ -211,7 +211,7 @@
             return
         message = PermitReturn(life=permit.life, left=left)
         if permit.lender == self.identity:
-            self.take_back(message)
+            self.on_permit_returned(message)
         elif self.links is not None:
             address = self._address(permit.lender)
             if address:
@@ -229,7 +229,7 @@
 
     async def _ask(self, lender, request) -> PermitReply | None:
         if lender == self.identity:
-            return self.lend(request)
+            return self.grant(request)
         now = clock.monotonic()
         address = self._address(lender)
         if self.links is None or not address or now < self._silent_until.get(lender, 0.0):
@@ -266,22 +266,22 @@
 
     # ---- lending ----
 
-    def lend(self, request: PermitRequest) -> PermitReply:
+    def grant(self, request: PermitRequest) -> PermitReply:
         """Answer a gateway that asks for a permit."""
         now = clock.monotonic()
         life = request.known.life
         self._take_record(request.known, request.sender)
-        part = self.ranks.part(life, request.data_centre or "", now) if self.may_lend else 0.0
+        part = self.ranks.part(life, request.data_centre or "", now) if self.may_grant else 0.0
         limit = self.limit(life)
         if not part:
             return PermitReply(lends=False, granted=False, known=self.record(life))
         if not limit.is_limited:
             known = self.record(life)
             return PermitReply(lends=True, granted=True, wait=0.0, spread=0.0, known=known)
-        lent = self._lent.setdefault(life, LentTarget())
+        granted_count = self._lent.setdefault(life, LentTarget())
         rate = limit.per_second * part
         patience = request.patience or 0.0
-        loan = lent.lend(rate, request.sender, patience, bool(request.spare), now)
+        loan = granted_count.grant(rate, request.sender, patience, bool(request.spare), now)
         if loan.is_granted:
             metrics.permits_lent_total.inc({})
         return PermitReply(
@@ -292,12 +292,12 @@
             known=self.record(life),
         )
 
-    def take_back(self, message: PermitReturn) -> None:
+    def on_permit_returned(self, message: PermitReturn) -> None:
         """Take back a permit that somebody did not use."""
-        lent = self._lent.get(message.life)
-        if lent is not None:
+        granted_count = self._lent.get(message.life)
+        if granted_count is not None:
             now = clock.monotonic()
-            lent.give_back(now + (message.left or 0.0), now)
+            granted_count.give_back(now + (message.left or 0.0), now)
 
     def close(self) -> None:
         """End what is under way."""
--- a/traystall/quarantine/held.py
+++ b/traystall/quarantine/cache.py
@@ -26,7 +26,7 @@
         return self.ends >= TRIAL_ENDS or self.refused_until > float("-inf")
 
 
-class HeldSuspects:
+class SuspectCache:
     """Hold the suspects; `take` moves forward only.
 
     A control daemon that was cut off, or has just started, tells of a lower version: a request
--- a/traystall/quarantine/ends.py
+++ b/traystall/quarantine/ends.py
@@ -35,12 +35,12 @@
 _REMEMBERED = 200
 # Runs of one target that are blamed at the most; engines run some dozens at once.
 _MOST_RUNS = 512
-REFUSED = "nothing listens at its address"
+NOT_LISTENING = "nothing listens at its address"
 
 logger = logging.getLogger(__name__)
 
 
-class WatchedTarget(msgspec.Struct, frozen=True):
+class TargetIncarnation(msgspec.Struct, frozen=True):
     """Name one life of a target.
 
     `evidence()` returns how else its end shows, or nothing; `answered_at()` when it last answered
@@ -60,7 +60,7 @@
     The last one broke at `since`.
     """
 
-    target: WatchedTarget
+    target: TargetIncarnation
     since: float
     due: list[float]
     runs: list[tuple[float, object]]
@@ -80,7 +80,7 @@
         self._left: dict[str, deque] = {}
         self._tasks: set[asyncio.Task] = set()
 
-    def on_broken(self, target: WatchedTarget, run) -> None:
+    def on_connection_broken(self, target: TargetIncarnation, run) -> None:
         """Take in that the connection of a run broke; it is looked into in the background."""
         run.is_broken = True
         self._guard.name(run)
@@ -100,9 +100,9 @@
         broken.runs = [(at, run) for at, run in broken.runs if at >= answered_at]
         for run in cleared:
             run.is_broken = False
-            self._guard.over(run)
+            self._guard.on_finished(run)
 
-    def on_left(self, target: WatchedTarget, run) -> None:
+    def on_run_abandoned(self, target: TargetIncarnation, run) -> None:
         """Take in that a run was given up: a target that ends right after may still have run it."""
         now = clock.monotonic()
         self._guard.name(run)
@@ -114,12 +114,12 @@
             if not runs:
                 del self._left[life]
 
-    def on_refused(self, target: WatchedTarget) -> None:
+    def on_connection_refused(self, target: TargetIncarnation) -> None:
         """Take in that nothing listens at a target's address, if that matters to any run."""
         if target.life in self._left and not self._has_ended(target):
             self._look_into(target)
 
-    async def has_ended(self, target: WatchedTarget) -> bool:
+    async def has_ended(self, target: TargetIncarnation) -> bool:
         """Return, within some 0.1 s, whether a target whose connection just broke has ended."""
         broken = _Broken(target, clock.monotonic(), [], [])
         for wait in _TRIES[:2]:
@@ -127,7 +127,7 @@
                 break
             await asyncio.sleep(broken.since + wait - clock.monotonic())
             if await self._is_gone(broken):
-                self._note(broken, REFUSED)
+                self._note(broken, NOT_LISTENING)
         return self._has_ended(target)
 
     def close(self) -> None:
@@ -167,7 +167,7 @@
         decision("target-goes-on", target=broken.target.life, runs=len(broken.runs))
         for _, run in broken.runs:
             run.is_broken = False
-            self._guard.over(run)
+            self._guard.on_finished(run)
 
     async def _find_evidence(self, broken) -> str:
         while (now := clock.monotonic()) - broken.since < _LOOK_SECONDS:
@@ -175,7 +175,7 @@
                 broken.tried_at = now
                 broken.due = [at for at in broken.due if at > now]
                 if await self._is_gone(broken):
-                    return REFUSED
+                    return NOT_LISTENING
             if found := broken.target.evidence():
                 return found
             wait = broken.due[0] - now if broken.due else _LOOK_EVERY
--- a/traystall/quarantine/guard.py
+++ b/traystall/quarantine/guard.py
@@ -6,9 +6,9 @@
 from traystall.core.exceptions import RpcError
 from traystall.core.ids import new_id
 from traystall.core.logs import decision
+from traystall.quarantine.cache import HeldSuspect, SuspectCache
 from traystall.quarantine.digests import request_digest
 from traystall.quarantine.ends import EndWatch
-from traystall.quarantine.held import HeldSuspect, HeldSuspects
 from traystall.quarantine.local import LocalTrials
 from traystall.quarantine.models import TRIAL_ENDS, Verdict
 from traystall.quarantine.reports import RunReports
@@ -65,11 +65,11 @@
     """
 
     def __init__(self, key: bytes, leader: LeaderLink):
-        self.held = HeldSuspects()
+        self.held = SuspectCache()
         self.reports = RunReports(leader, self._is_understood)
         self.ends = EndWatch(self)
         # Returns whether all control daemons that are heard know of suspects.
-        self.all_tell = lambda: self.held.is_told
+        self.daemons_support_suspects = lambda: self.held.is_told
         self._key = key
         self._leader = leader
         self._local = LocalTrials()
@@ -128,12 +128,12 @@
         if suspect is not None:
             self.reports.add_served(digest)
 
-    def over(self, run: GuardedRun) -> None:
+    def on_finished(self, run: GuardedRun) -> None:
         """Take in that nothing more is sent of a request: its trial is over, if it was one."""
         if not run.trial:
             return
         if run.is_local:
-            self._local.over(run.digest(self._key))
+            self._local.on_finished(run.digest(self._key))
         elif not run.is_broken:
             self.reports.add_released(run.trial)
 
@@ -185,4 +185,4 @@
         return self.reports.waiting_ends(run.digest(self._key))
 
     def _is_understood(self) -> bool:
-        return self.held.is_told and self.all_tell()
+        return self.held.is_told and self.daemons_support_suspects()
--- a/traystall/quarantine/local.py
+++ b/traystall/quarantine/local.py
@@ -51,7 +51,7 @@
         if found is not None:
             found.cleared_ends = ends
 
-    def over(self, digest: bytes) -> None:
+    def on_finished(self, digest: bytes) -> None:
         """Take in that a trial is over."""
         found = self._trials.get(digest)
         if found is not None:
--- a/traystall/quarantine/models.py
+++ b/traystall/quarantine/models.py
@@ -11,7 +11,7 @@
 TRIAL_ENDS = 3
 # So many trials are granted without a whole answer before a request is refused. With the ends
 # before them and one arrival at a gateway that had not been told, no more than three follow.
-MOST_TRIALS = 2
+MAX_TRIALS = 2
 # A trial whose gateway says nothing more is over after so long: longer than most answers take.
 TRIAL_SECONDS = 15.0
 
@@ -66,7 +66,7 @@
     REFUSED = "refused"
 
 
-class Event(StrEnum):
+class SuspectEvent(StrEnum):
     """Name what became of a suspect."""
 
     SUSPECTED = "suspected"
@@ -74,10 +74,10 @@
     CLEARED = "cleared"
 
 
-class SuspectNews(msgspec.Struct, frozen=True):
+class SuspectUpdate(msgspec.Struct, frozen=True):
     """Tell what became of a suspect and why; `age` is how long it has been known, in seconds."""
 
-    event: Event
+    event: SuspectEvent
     digest: bytes
     customer: str
     route: str
@@ -91,7 +91,7 @@
 
     verdict: Verdict
     seconds: float = 0.0
-    news: tuple[SuspectNews, ...] = ()
+    updates: tuple[SuspectUpdate, ...] = ()
 
 
 class Suspect(msgspec.Struct):
--- a/traystall/quarantine/state.py
+++ b/traystall/quarantine/state.py
@@ -12,16 +12,16 @@
 
 from traystall.core.serialization import pack, unpack
 from traystall.quarantine.models import (
-    MOST_TRIALS,
+    MAX_TRIALS,
     TRIAL_ENDS,
     TRIAL_SECONDS,
     BeginTrial,
     EndedRun,
-    Event,
     LiftSuspect,
     ReportRuns,
     Suspect,
-    SuspectNews,
+    SuspectEvent,
+    SuspectUpdate,
     TrialResult,
     Verdict,
 )
@@ -101,20 +101,20 @@
 
     # ---- commands ----
 
-    def report(self, command: ReportRuns) -> list[SuspectNews]:
+    def report(self, command: ReportRuns) -> list[SuspectUpdate]:
         """Take in what became of runs; return what that made of suspects."""
         self._advance(command.time)
-        news: list[SuspectNews] = []
+        updates: list[SuspectUpdate] = []
         for ended in command.ended:
-            self._count(ended, news)
+            self._count(ended, updates)
         for digest in command.served:
             row = self._suspects.get(digest)
             if row is not None:
-                self._clear(row, "it got a whole answer", news)
+                self._clear(row, "it got a whole answer", updates)
         for row in self._suspects.values() if command.released else ():
             if row.trial in command.released:
                 _end_trial(row)
-        return news
+        return updates
 
     def begin_trial(self, command: BeginTrial) -> TrialResult:
         """Answer whether a request may be sent now: at most one trial of a pool at a time."""
@@ -126,26 +126,26 @@
             return TrialResult(Verdict.REFUSED, self.refused_seconds(row))
         if row.refused_at is not None:
             # It was refused long enough: one trial tells whether that still holds.
-            row.refused_at, row.trials = None, MOST_TRIALS - 1
+            row.refused_at, row.trials = None, MAX_TRIALS - 1
             self._mark(row)
         if self._is_pool_tried(row.pool):
             return TrialResult(Verdict.WAIT)
-        if row.trials >= MOST_TRIALS:
-            news: list[SuspectNews] = []
-            self._refuse(row, "its trials ended without an answer", news)
-            return TrialResult(Verdict.REFUSED, REFUSED_SECONDS, tuple(news))
+        if row.trials >= MAX_TRIALS:
+            updates: list[SuspectUpdate] = []
+            self._refuse(row, "its trials ended without an answer", updates)
+            return TrialResult(Verdict.REFUSED, REFUSED_SECONDS, tuple(updates))
         row.trials += 1
         row.trial, row.trial_until = command.trial, self.time + TRIAL_SECONDS
         return TrialResult(Verdict.TRIAL)
 
-    def lift(self, command: LiftSuspect) -> list[SuspectNews]:
+    def lift(self, command: LiftSuspect) -> list[SuspectUpdate]:
         """Forget what is held against a request; return the news, none if nothing was."""
         self._advance(command.time)
-        news: list[SuspectNews] = []
+        updates: list[SuspectUpdate] = []
         row = self._suspects.get(command.digest)
         if row is not None:
-            self._clear(row, f"lifted by {command.operator}", news)
-        return news
+            self._clear(row, f"lifted by {command.operator}", updates)
+        return updates
 
     # ---- snapshots ----
 
@@ -164,42 +164,44 @@
 
     # ---- steps ----
 
-    def _count(self, ended: EndedRun, news):
+    def _count(self, ended: EndedRun, updates):
         row = self._suspects.get(ended.digest) or self._add(ended)
         if ended.life not in row.lives:
             row.lives = [*row.lives, ended.life][-_MOST_LIVES:]
             row.last, row.pool, row.evidence = self.time, ended.pool, ended.evidence
             if row.is_told:
                 self._mark(row)
-                news.append(self._news(Event.SUSPECTED, row, ended.evidence))
+                updates.append(self._news(SuspectEvent.SUSPECTED, row, ended.evidence))
         if ended.trial and ended.trial == row.trial and row.refused_at is None:
-            self._refuse(row, f"its trial ended {ended.life}", news)
+            self._refuse(row, f"its trial ended {ended.life}", updates)
 
-    def _refuse(self, row, why, news):
+    def _refuse(self, row, why, updates):
         row.refused_at = self.time
         _end_trial(row)
         self._mark(row)
-        news.append(self._news(Event.REFUSED, row, why))
+        updates.append(self._news(SuspectEvent.REFUSED, row, why))
         explained = set(row.lives)
         for other in list(self._suspects.values()):
             if other.refused_at is None and not explained.isdisjoint(other.lives):
-                self._take_off(other, explained, news)
+                self._take_off(other, explained, updates)
 
-    def _take_off(self, row, explained, news):
+    def _take_off(self, row, explained, updates):
         """Take ends off a suspect that another one explains."""
         was_told = row.is_told
         row.lives = [life for life in row.lives if life not in explained]
         if was_told and not row.is_told:
             self._tell_removed(row.digest)
-            news.append(self._news(Event.CLEARED, row, "another request explains its ends"))
+            updates.append(
+                self._news(SuspectEvent.CLEARED, row, "another request explains its ends")
+            )
         elif was_told:
             self._mark(row)
         if not row.lives:
             del self._suspects[row.digest]
 
-    def _clear(self, row, why, news):
+    def _clear(self, row, why, updates):
         if row.is_told:
-            news.append(self._news(Event.CLEARED, row, why))
+            updates.append(self._news(SuspectEvent.CLEARED, row, why))
         self._remove(row)
 
     def _add(self, ended) -> Suspect:
@@ -263,9 +265,9 @@
             if self.time - row.last > limit:
                 self._remove(row)
 
-    def _news(self, event, row, why) -> SuspectNews:
+    def _news(self, event, row, why) -> SuspectUpdate:
         age = self.time - row.since
-        return SuspectNews(event, row.digest, row.customer, row.route, row.ends, why, age)
+        return SuspectUpdate(event, row.digest, row.customer, row.route, row.ends, why, age)
 
 
 def _end_trial(row):
--- a/traystall/registry/follower.py
+++ b/traystall/registry/follower.py
@@ -12,7 +12,7 @@
 
 from traystall.core import clock
 from traystall.core.exceptions import RpcError
-from traystall.quarantine.held import HeldSuspects
+from traystall.quarantine.cache import SuspectCache
 from traystall.registry.records import to_report
 from traystall.rpc.client import LinkPool
 from traystall.rpc.gen.wire.ttypes import RegistryReply, RegistryRequest
@@ -38,13 +38,13 @@
 
     def __init__(self, links: LinkPool, sender: str, addresses: Callable[[], list[str]]):
         self.merge: Callable = lambda report, seen_at: None
-        self.saw: Callable = lambda identity, seen_at: None
+        self.record_seen: Callable = lambda identity, seen_at: None
         self.on_members: Callable = lambda members: None
         self.number: Callable[[], int] = lambda: 0
-        self.on_number: Callable = lambda number, address: None
+        self.on_newer_revision: Callable = lambda number, address: None
         self.evacuation_version: Callable[[], int] = lambda: 0
-        self.on_evacuated: Callable = lambda told: None
-        self.suspects: HeldSuspects | None = None
+        self.on_evacuation_update: Callable = lambda told: None
+        self.suspects: SuspectCache | None = None
         self.heard_at: dict[str, float] = {}
         # Whether each registry, when it last answered, told of suspects.
         self._tells_suspects: dict[str, bool] = {}
@@ -64,17 +64,17 @@
             for task in self._watches.values():
                 task.cancel()
 
-    def last_heard(self) -> float:
+    def last_reply_at(self) -> float:
         """Return when any registry last answered, in monotonic seconds."""
         return max(self.heard_at.values(), default=float("-inf"))
 
     @property
-    def newest_number(self) -> int:
+    def newest_revision(self) -> int:
         """Return the highest revision that a registry told of when it last answered."""
         return max(self._told_numbers.values(), default=0)
 
     @property
-    def all_tell_suspects(self) -> bool:
+    def all_support_suspects(self) -> bool:
         """Return whether every registry that is heard knows of suspects."""
         return all(self._tells_suspects.values())
 
@@ -117,7 +117,7 @@
             told = reply.number or 0
             self._told_numbers[address] = told
             if told > self.number():
-                self.on_number(told, address)
+                self.on_newer_revision(told, address)
             request.epoch = reply.epoch
             request.version = reply.version
 
@@ -133,8 +133,8 @@
                 continue
             self.merge(report, now - (record.age or 0.0))
         for identity, age in (reply.ages or {}).items():
-            self.saw(identity, now - age)
+            self.record_seen(identity, now - age)
         self.on_members(reply.members or [])
-        self.on_evacuated(reply.evacuated)
+        self.on_evacuation_update(reply.evacuated)
         if self.suspects is not None:
             self.suspects.take(reply.suspects)
--- a/traystall/registry/models.py
+++ b/traystall/registry/models.py
@@ -14,7 +14,7 @@
 
 
 # A start beyond this is none: Unix milliseconds have to fit into 64 bits with a sign.
-MOST_STARTED = 2**63 - 1
+MAX_START_MS = 2**63 - 1
 
 STATE_RANK = {state: rank for rank, state in enumerate(RegisteredState)}
 
--- a/traystall/registry/memory.py
+++ b/traystall/registry/persistence.py
@@ -20,7 +20,7 @@
 logger = logging.getLogger(__name__)
 
 
-class RegistryMemory:
+class RegistryPersistence:
     """Write the ready targets of a registry down whenever they have changed."""
 
     def __init__(self, registry: RegistryService, store: TargetStore):
@@ -33,7 +33,7 @@
         for report in await loop.run_in_executor(None, self._store.load):
             self._registry.report(report, REMEMBERED_AGE)
 
-    async def remember_forever(self) -> None:
+    async def save_forever(self) -> None:
         """Write the targets down after each change; a disk that refuses is asked again."""
         remembered: list[TargetReport] = []
         while True:
--- a/traystall/registry/service.py
+++ b/traystall/registry/service.py
@@ -5,8 +5,8 @@
 
 from traystall.core import clock
 from traystall.core.ids import new_id
-from traystall.evacuations.held import to_wire
-from traystall.evacuations.models import EvacuatedPlaces
+from traystall.evacuations.cache import to_wire
+from traystall.evacuations.models import EvacuatedDataCentres
 from traystall.quarantine.state import SuspectTable
 from traystall.quarantine.wire import to_wire as to_suspects
 from traystall.registry.models import TargetReport
@@ -15,11 +15,11 @@
 from traystall.rpc.gen.wire.ttypes import Member, RegistryReply, RegistryRequest
 
 # How long a watch is held open when nothing is new, in seconds.
-WATCH_HOLD = 1.0
+WATCH_HOLD_SECONDS = 1.0
 # Ages are told to a watcher once in so many seconds, as often as when nothing is new. They say only
 # who is silent, which is judged by seconds; told with each reply, a restart of one of 160 targets
 # cost every gateway three times 7 KB from each control daemon.
-AGES_SECONDS = WATCH_HOLD
+AGES_SECONDS = WATCH_HOLD_SECONDS
 _FORGET_EVERY = 30.0
 # Told in one reply, so many targets take 32 KB: 0.05 s at 5 Mbit/s. A watcher asks for the rest at
 # once. Told all in one, more than fit through its link in time were never known to it.
@@ -36,7 +36,7 @@
     `suspects` is the table of requests under which targets ended, of which changes are told.
     """
 
-    def __init__(self, members, number=lambda: 0, evacuated=EvacuatedPlaces, suspects=None):
+    def __init__(self, members, number=lambda: 0, evacuated=EvacuatedDataCentres, suspects=None):
         self.registry = Registry()
         self.epoch = new_id()
         self._members = members
@@ -63,7 +63,7 @@
         began = clock.monotonic()
         ages_due = self._ages_due(request, began)
         # Who doesn't say when it was told gets ages with each reply, and is held in full.
-        deadline = began + WATCH_HOLD if request.ages_told is None else ages_due
+        deadline = began + WATCH_HOLD_SECONDS if request.ages_told is None else ages_due
         while known >= self.registry.version and self._is_up_to_date(request):
             left = deadline - clock.monotonic()
             if left <= 0:
--- a/traystall/registry/table.py
+++ b/traystall/registry/table.py
@@ -70,7 +70,7 @@
         gone = msgspec.structs.replace(row.report, state=RegisteredState.GONE)
         return self.merge(gone, seen_at)
 
-    def saw(self, identity: str, seen_at: float) -> None:
+    def record_seen(self, identity: str, seen_at: float) -> None:
         """Record that another source has heard from a target."""
         row = self._rows.get(identity)
         if row is not None:
--- a/traystall/routes/matching.py
+++ b/traystall/routes/matching.py
@@ -24,7 +24,7 @@
         return self.table.number
 
     @property
-    def wants_keys(self) -> bool:
+    def requires_key(self) -> bool:
         """Return whether requests on routes that are not public must show a key."""
         return self.table.customers is not None
 
@@ -46,7 +46,7 @@
                 return found
             end = slash
 
-    def named(self, name: str) -> Route | None:
+    def route_named(self, name: str) -> Route | None:
         """Return the route called `name`, or None."""
         return self._by_name.get(name)
 
@@ -55,7 +55,7 @@
         return self._holders.get(key)
 
 
-def places_of(route: Route, customer: KeyedCustomer | None) -> tuple[str, ...] | None:
+def allowed_data_centres(route: Route, customer: KeyedCustomer | None) -> tuple[str, ...] | None:
     """Return the data centres in which a request may run; none means anywhere.
 
     Where both the route and the customer name some, both bind; None says that they have none
--- a/traystall/routes/models.py
+++ b/traystall/routes/models.py
@@ -53,7 +53,7 @@
     data_centres: tuple[str, ...] = ()
 
     @property
-    def may_run_again(self) -> bool:
+    def is_safe_to_retry(self) -> bool:
         """Return whether a second run of a request can't double anything."""
         return self.resumable if self.streamed else self.repeatable
 
--- a/traystall/systems/admission.py
+++ b/traystall/systems/admission.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from traystall.systems.deadlines import least_time, typical_time
+from traystall.systems.deadlines import minimum_time, typical_time
 from traystall.systems.estimates import TimeTable
 from traystall.tables.entities import Pipeline
 
@@ -22,7 +22,7 @@
 
 def admit(times: TimeTable, pipeline: Pipeline, deadline: float, now: float) -> Admission:
     """Refuse only what even the fastest recent calls could not finish in time."""
-    least = least_time(times, pipeline, 0, now)
+    least = minimum_time(times, pipeline, 0, now)
     remaining = deadline - now
     if remaining > 0 and least <= remaining:
         return Admission(True)
--- a/traystall/systems/deadlines.py
+++ b/traystall/systems/deadlines.py
@@ -17,7 +17,7 @@
 _UNKNOWN_PATIENCE_SHARE = 0.5
 
 
-def least_time(times: TimeTable, pipeline: Pipeline, from_stage: int, now: float) -> float:
+def minimum_time(times: TimeTable, pipeline: Pipeline, from_stage: int, now: float) -> float:
     """Return the least seconds that the stages from `from_stage` on can need; 0 if unknown."""
     total = 0.0
     for stage in pipeline.stages[from_stage:]:
@@ -62,7 +62,7 @@
     return min(remaining, max(_MIN_PATIENCE, known * PATIENCE_FACTOR))
 
 
-def is_hopeless(elapsed: float, done: int, left: int, remaining: float) -> bool:
+def will_miss_deadline(elapsed: float, done: int, left: int, remaining: float) -> bool:
     """Return whether `left` more tokens can't come in `remaining` seconds at the pace so far.
 
     The pace counts the wait before the first token, so early on it says too
--- a/traystall/systems/limits.py
+++ b/traystall/systems/limits.py
@@ -46,13 +46,13 @@
     retry_after: float = 0.0
 
 
-def gateways_inside(customer: Customer, data_centres: list[DataCentre]) -> int:
+def count_gateways(customer: Customer, data_centres: list[DataCentre]) -> int:
     """Return how many gateways are declared where the customer's requests may run."""
     places = set(customer.data_centres)
     return max(1, sum(place.gateways for place in data_centres if place.name in places))
 
 
-def position_inside(
+def gateway_position(
     customer: Customer, data_centres: list[DataCentre], own_place: str, index: int
 ) -> int:
     """Return this gateway's position among those inside; beyond the count if it has none."""
@@ -64,7 +64,7 @@
     for place in places:
         if place.name == own_place:
             # A gateway beyond the declared number has no part: the parts must not exceed the whole.
-            return before + index if index < place.gateways else gateways_inside(customer, places)
+            return before + index if index < place.gateways else count_gateways(customer, places)
         before += place.gateways
     return before
 
@@ -115,7 +115,7 @@
         """Count that a request of the customer ended."""
         self._rows[customer].running -= 1
 
-    def lend(self, customer: Customer, index: int, count: int, now: float, wanted: Loan) -> Loan:
+    def grant(self, customer: Customer, index: int, count: int, now: float, wanted: Loan) -> Loan:
         """Hand out part of what is not used here: half at most, permits in use never."""
         row = self._row(customer, index, count, now)
         tokens = 0.0
--- a/traystall/systems/loads.py
+++ b/traystall/systems/loads.py
@@ -6,7 +6,7 @@
 SAMPLE_SECONDS = 0.1
 
 
-def fold_quick(row: TargetRow, now: float) -> None:
+def sample_quick_load(row: TargetRow, now: float) -> None:
     """Fold the quick work in flight now into its average, at most once a sample time."""
     if now - row.quick_load_at < SAMPLE_SECONDS:
         return
--- a/traystall/systems/membership.py
+++ b/traystall/systems/membership.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from traystall.tables.asked import Asked
+from traystall.tables.availability import Availability
 from traystall.tables.targets import Breaker, TargetRow, TargetState
 
 
@@ -54,6 +54,6 @@
     if known or row.state is TargetState.LEAVING:
         row.state = TargetState.LIVE
         row.breaker = Breaker()
-        row.asked = Asked()
+        row.availability = Availability()
         row.service_ratio = 1.0
     return True
--- a/traystall/systems/orders.py
+++ b/traystall/systems/orders.py
@@ -11,7 +11,7 @@
 from traystall.tables.entities import Kind, Model, Target
 
 
-class Loaded(msgspec.Struct, frozen=True, order=True):
+class LoadedModel(msgspec.Struct, frozen=True, order=True):
     """Name one loaded model with its version."""
 
     name: str
@@ -22,15 +22,15 @@
     """Hold what an engine said it holds; `ready` are the models it can serve now."""
 
     target: str
-    ready: frozenset[Loaded] = frozenset()
-    loading: frozenset[Loaded] = frozenset()
+    ready: frozenset[LoadedModel] = frozenset()
+    loading: frozenset[LoadedModel] = frozenset()
 
 
 class Order(msgspec.Struct, frozen=True):
     """Ask one engine to hold exactly `models`."""
 
     target: str
-    models: tuple[Loaded, ...]
+    models: tuple[LoadedModel, ...]
     why: str
 
 
@@ -75,7 +75,7 @@
 
 
 def _next_order(model, members, states, budget, now):
-    wanted = Loaded(model.name, model.version)
+    wanted = LoadedModel(model.name, model.version)
     known = [states[t.name] for t in members if t.name in states]
     if any(state.loading for state in known):
         return None
@@ -120,6 +120,6 @@
     return list(chosen.values())
 
 
-def wait_before_orders(elected_at: float, lease: float, order_timeout: float) -> float:
+def earliest_order_time(elected_at: float, lease: float, order_timeout: float) -> float:
     """Return when a new leader may order targets that don't check fencing tokens."""
     return elected_at + lease + order_timeout
--- a/traystall/systems/permits.py
+++ b/traystall/systems/permits.py
@@ -42,10 +42,10 @@
     # The last moment that was dealt out, and those that were given back unused.
     last_at: float = float("-inf")
     returned: list[float] = []
-    lent: int = 0
+    granted_count: int = 0
     askers: dict[str, float] = {}
 
-    def lend(
+    def grant(
         self, per_second: float, asker: str, patience: float, is_spare: bool, now: float
     ) -> Loan:
         """Return a permit that may be used within `patience` seconds, or when there is one.
@@ -65,7 +65,7 @@
             if slot - now > patience:
                 return Loan(False, slot - now, self._spread(per_second))
             self.last_at = base
-        self.lent += 1
+        self.granted_count += 1
         return Loan(True, slot - now)
 
     def give_back(self, slot: float, now: float) -> None:
@@ -74,7 +74,7 @@
         slot = min(slot, self.last_at)
         if slot > now:
             bisect.insort(self.returned, slot)
-            self.lent -= 1
+            self.granted_count -= 1
 
     def _returned_slot(self, patience, now):
         while self.returned and self.returned[0] < now:
--- a/traystall/systems/owners.py
+++ b/traystall/systems/probe_assignment.py
@@ -10,7 +10,7 @@
 COPIES = 2
 
 
-def owned(targets: list[str], gateways: list[str], own: str) -> set[str]:
+def assigned_targets(targets: list[str], gateways: list[str], own: str) -> set[str]:
     """Return the names of the targets that the gateway `own` asks."""
     if len(targets) <= ASK_ALL:
         return set(targets)
--- a/traystall/systems/queues.py
+++ b/traystall/systems/queues.py
@@ -32,7 +32,7 @@
     next_pool: str = ""
     grant: object = None
     # Whether it was granted as one of the first after a rest of its target.
-    is_first: bool = False
+    is_recovery_attempt: bool = False
 
 
 class WaitTimes:
--- a/traystall/systems/rests.py
+++ b/traystall/systems/retry_after.py
@@ -6,13 +6,13 @@
 
 RETRY_AFTER = "Retry-After"
 # Status of an answer by which a target turns a request away and may ask for rest.
-TURNED_AWAY = 503
+SERVICE_UNAVAILABLE = 503
 # A longer rest is not honoured, in seconds. The longest event that the stated aim names lasts
 # minutes (regions that lose each other): an hour holds it, and bounds what a wrong figure costs.
 LONGEST_REST_SECONDS = 3600.0
 
 
-def rest_seconds(values: Iterable[str], date: str | None = None) -> float:
+def parse_retry_after(values: Iterable[str], date: str | None = None) -> float:
     """Return the rest that the values of Retry-After ask for, in seconds; 0 for none.
 
     Of several the longest holds. A date counts from `date`, the answer's own, by the clock that
--- a/traystall/systems/routing.py
+++ b/traystall/systems/routing.py
@@ -51,7 +51,7 @@
 
 def has_room(row: TargetRow, priority: PriorityClass, now: float) -> bool:
     """Return whether this gateway may put one more attempt of the class on the target."""
-    if not row.asked.may_get_work(now) or row.limit.is_closed(now):
+    if not row.availability.may_send_work(now) or row.limit.is_closed(now):
         return False
     if priority is PriorityClass.QUICK:
         return row.total_in_flight < row.target.slots * QUICK_OVERCOMMIT
@@ -61,7 +61,7 @@
 def score(row: TargetRow, priority: PriorityClass) -> float:
     """Return the cost of sending one more attempt to the target; lower is better."""
     waiting = row.total_in_flight + IN_FLIGHT_OFFSET
-    if priority is PriorityClass.QUICK and not row.keeps_quick_slot:
+    if priority is PriorityClass.QUICK and not row.reserves_quick_slot:
         waiting += NO_KEPT_SLOT
     return waiting * row.service_ratio
 
--- a/traystall/systems/shares.py
+++ b/traystall/systems/shares.py
@@ -25,7 +25,9 @@
     kept: bool
 
 
-def kept_targets(targets: list[Target], has_quick_work: bool, quick_slots: float) -> frozenset[str]:
+def reserved_targets(
+    targets: list[Target], has_quick_work: bool, quick_slots: float
+) -> frozenset[str]:
     """Return the names of the targets that keep one slot for quick work.
 
     `has_quick_work` says that a declared pipeline sends quick work to the pool,
@@ -41,7 +43,7 @@
     return frozenset(target.name for target in _spread(able)[:wanted])
 
 
-def deal(
+def divide_slots(
     targets: list[Target], gateways: list[str], own: str, kept: frozenset[str]
 ) -> dict[str, Share]:
     """Return the share of gateway `own` by target name."""
--- a/traystall/systems/speeds.py
+++ b/traystall/systems/speeds.py
@@ -15,7 +15,7 @@
 FAILED_RATIO = 3.0
 
 
-def on_time(row: TargetRow, seconds: float, typical: float | None, now: float) -> None:
+def on_duration(row: TargetRow, seconds: float, typical: float | None, now: float) -> None:
     """Take in one observed time, given the typical one of the same stage."""
     if typical:
         _fold(row, seconds / typical, _WEIGHT, now)
@@ -27,7 +27,7 @@
         _fold(row, elapsed / typical, _OVERDUE_WEIGHT, now)
 
 
-def is_usual(elapsed: float, typical: float | None) -> bool:
+def is_within_usual_time(elapsed: float, typical: float | None) -> bool:
     """Return whether a target that has not answered yet may still be quite well."""
     return typical is not None and elapsed <= typical * FAILED_RATIO
 
--- a/traystall/systems/target_limits.py
+++ b/traystall/systems/target_limits.py
@@ -6,22 +6,22 @@
 import msgspec
 
 # The header of targets that speak traystall's own form.
-LIMIT = "Traystall-Limit"
+LIMIT_HEADER = "Traystall-Limit"
 # A target whose limit is lower gets so many requests a second all the same: only an answer can tell
 # that it takes more again.
 LEAST_PER_SECOND = 0.1
 
 
-class LimitWord(msgspec.Struct, frozen=True):
+class AnnouncedLimit(msgspec.Struct, frozen=True):
     """Hold what an answer says: how many requests a second, or any number (None)."""
 
     per_second: float | None
 
 
-ANY_NUMBER = LimitWord(None)
+UNLIMITED = AnnouncedLimit(None)
 
 
-def read_limit(values: Iterable[str]) -> LimitWord | None:
+def parse_limit(values: Iterable[str]) -> AnnouncedLimit | None:
     """Return what the values of an answer's header say, or None if they can't be read.
 
     No value and `inf` say that any number is taken. Of several values the lowest holds. What is
@@ -29,12 +29,12 @@
     """
     found = list(values)
     if not found:
-        return ANY_NUMBER
+        return UNLIMITED
     numbers = [number for value in found if (number := _number(value.strip())) is not None]
     if not numbers:
         return None
     lowest = min(numbers)
-    return ANY_NUMBER if math.isinf(lowest) else LimitWord(max(LEAST_PER_SECOND, lowest))
+    return UNLIMITED if math.isinf(lowest) else AnnouncedLimit(max(LEAST_PER_SECOND, lowest))
 
 
 def _number(text):
--- a/traystall/systems/windows.py
+++ b/traystall/systems/windows.py
@@ -22,7 +22,7 @@
     return row.share + int(row.extra)
 
 
-def on_time(row: TargetRow, seconds: float, least: float | None, was_limited: bool) -> None:
+def on_duration(row: TargetRow, seconds: float, least: float | None, was_limited: bool) -> None:
     """Take in one answer's time; `least` is the fastest usual time of the same stage."""
     if not least or not row.may_exceed_share:
         return
--- a/traystall/tables/asked.py
+++ b/traystall/tables/availability.py
@@ -4,10 +4,10 @@
 
 # So many requests may be under way to a target that has rested until one of them is answered:
 # else all that waited comes at once, which is what made it ask for rest.
-FIRST_AFTER_REST = 2
+MAX_IN_FLIGHT_AFTER_BACKOFF = 2
 
 
-class Asked(msgspec.Struct):
+class Availability(msgspec.Struct):
     """Hold what one life of a target has asked: to be left alone for a while, or for good.
 
     That is a promise, unlike what was learned of it: no other doubt overrules it, and nothing later
@@ -15,57 +15,61 @@
     request whose answer asked for the rest.
     """
 
-    rest_until: float = float("-inf")
+    backoff_until: float = float("-inf")
     leaves: bool = False
     request: str = ""
     # Whether nothing was answered since the rest, and how many requests are under way since.
-    is_returning: bool = False
-    first: int = 0
+    is_recovering: bool = False
+    recovery_in_flight: int = 0
 
-    def rests(self, now: float) -> bool:
+    def is_backing_off(self, now: float) -> bool:
         """Return whether nothing at all may be sent now."""
-        return now < self.rest_until
+        return now < self.backoff_until
 
-    def may_get_work(self, now: float) -> bool:
+    def may_send_work(self, now: float) -> bool:
         """Return whether new work may be sent now."""
-        if self.leaves or self.rests(now):
+        if self.leaves or self.is_backing_off(now):
             return False
-        return not self.is_returning or self.first < FIRST_AFTER_REST
+        return not self.is_recovering or self.recovery_in_flight < MAX_IN_FLIGHT_AFTER_BACKOFF
 
-    def ask_rest(self, seconds: float, request: str, now: float) -> bool:
+    def request_backoff(self, seconds: float, request: str, now: float) -> bool:
         """Take in that it wants nothing for so long; return whether that is longer than known."""
         until = now + seconds
-        if until <= self.rest_until:
+        if until <= self.backoff_until:
             return False
-        self.rest_until = until
+        self.backoff_until = until
         self.request = request
-        self.is_returning = True
+        self.is_recovering = True
         return True
 
     def on_sent(self) -> bool:
         """Take in that a request is about to be sent; return whether it is one of the first."""
-        self.first += self.is_returning
-        return self.is_returning
+        self.recovery_in_flight += self.is_recovering
+        return self.is_recovering
 
-    def on_over(self, was_first: bool) -> None:
+    def on_finished(self, was_first: bool) -> None:
         """Take in that a request is over, `was_first` as `on_sent` said of it."""
-        self.first -= was_first
+        self.recovery_in_flight -= was_first
 
     def on_answer(self, now: float) -> None:
         """Take in an answer that asks for nothing: after a rest all may come again."""
-        if not self.rests(now):
-            self.is_returning = False
+        if not self.is_backing_off(now):
+            self.is_recovering = False
 
     def lift(self) -> bool:
         """Forget a rest, as an operator orders; return whether there was one."""
-        found = self.rest_until > float("-inf")
-        self.rest_until = float("-inf")
-        self.is_returning = False
+        found = self.backoff_until > float("-inf")
+        self.backoff_until = float("-inf")
+        self.is_recovering = False
         return found
 
-    def for_next_life(self, same_process: bool) -> "Asked":
+    def for_next_incarnation(self, same_process: bool) -> "Availability":
         """Return what holds for the next life, which has asked for the rest if it is the same.
 
         A life may be known late, after its first answers have come.
         """
-        return Asked(self.rest_until, False, self.request) if same_process else Asked()
+        return (
+            Availability(self.backoff_until, False, self.request)
+            if same_process
+            else Availability()
+        )
--- a/traystall/tables/gateways.py
+++ b/traystall/tables/gateways.py
@@ -8,7 +8,7 @@
 from traystall.tables.changes import REMEMBERED_DROPS, ChangeLog
 
 # A gateway not seen for this many seconds is no longer counted as live.
-GATEWAY_LIFETIME = 5.0
+GATEWAY_TIMEOUT_SECONDS = 5.0
 
 
 class GatewayRow(msgspec.Struct):
@@ -102,7 +102,7 @@
 
     def expire(self, now: float) -> None:
         """Drop the gateways that have been silent too long."""
-        gone = [row for row in self._rows.values() if now - row.seen_at > GATEWAY_LIFETIME]
+        gone = [row for row in self._rows.values() if now - row.seen_at > GATEWAY_TIMEOUT_SECONDS]
         for row in gone:
             self._drop(row.identity)
 
--- a/traystall/tables/requests.py
+++ b/traystall/tables/requests.py
@@ -72,7 +72,7 @@
         self.claim_ends_at = ends_at
         self.doubtful_before_claim = self.attempts_sent - self.attempts_not_run
 
-    def take_over(self, claim_id: str) -> None:
+    def adopt_claim(self, claim_id: str) -> None:
         """Go on under an earlier request's claim, whose work has run."""
         self.claim_id = claim_id
         self.claimed = True
--- a/traystall/tables/target_limits.py
+++ b/traystall/tables/target_limits.py
@@ -23,7 +23,7 @@
     since: float = float("-inf")
     first_ended_at: float = float("-inf")
     # Whose word it is: the id of a request of ours, or the gateway that told it.
-    told_by: str = ""
+    source: str = ""
     # Nothing is asked of the lender before: for work, and for what may as well be left out.
     closed_until: float = float("-inf")
     spare_closed_until: float = float("-inf")
@@ -34,7 +34,7 @@
         return self.per_second is not None
 
     @property
-    def was_named(self) -> bool:
+    def has_been_limited(self) -> bool:
         """Return whether the target takes only so many, or has done so once."""
         return self.is_limited or self.ended_at > float("-inf")
 
@@ -42,7 +42,7 @@
         """Return whether no work may be sent now since others have what the target takes."""
         return self.is_limited and now < self.closed_until
 
-    def name(self, per_second: float, sent_at: float, told_by: str, now: float) -> bool:
+    def name(self, per_second: float, sent_at: float, source: str, now: float) -> bool:
         """Take in an answer that names a limit; return whether that changes anything.
 
         It holds even if it answers a request from before an end: it was given after that.
@@ -53,7 +53,7 @@
         if not self.is_limited:
             self.since = now
         if changed:
-            self.told_by = told_by
+            self.source = source
         self.per_second = per_second
         self.sent_at = sent_at
         return changed
@@ -86,7 +86,7 @@
         self.ended_at = sent_at
         return True
 
-    def take_told(self, per_second: float | None, sent_at: float, told_by: str, now: float) -> bool:
+    def take_told(self, per_second: float | None, sent_at: float, source: str, now: float) -> bool:
         """Take in what another process knows; return whether that changes anything.
 
         The same word told to and fro would else become younger each time.
@@ -98,4 +98,4 @@
         is_same = per_second == self.per_second
         if is_same and sent_at < self.sent_at + TOLD_MARGIN_SECONDS:
             return False
-        return self.name(per_second, sent_at, told_by, now)
+        return self.name(per_second, sent_at, source, now)
--- a/traystall/tables/targets.py
+++ b/traystall/tables/targets.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from traystall.tables.asked import Asked
+from traystall.tables.availability import Availability
 from traystall.tables.entities import PriorityClass, Target
 from traystall.tables.target_limits import TargetLimit
 
@@ -46,7 +46,7 @@
     ratio_at: float = float("-inf")
     breaker: Breaker = msgspec.field(default_factory=Breaker)
     # What it has asked of this gateway.
-    asked: Asked = msgspec.field(default_factory=Asked)
+    availability: Availability = msgspec.field(default_factory=Availability)
     # What it takes from all gateways together.
     limit: TargetLimit = msgspec.field(default_factory=TargetLimit)
     # Models that the target says it holds; empty means not known.
@@ -57,7 +57,7 @@
     extra: float = 0.0
     may_exceed_share: bool = False
     # Whether one slot of the target is kept free of bulk work.
-    keeps_quick_slot: bool = False
+    reserves_quick_slot: bool = False
     # Average number of this gateway's quick attempts in flight, and when it was last folded in.
     quick_load: float = 0.0
     quick_load_at: float = float("-inf")
@@ -69,7 +69,7 @@
         else:
             self.bulk_in_flight += 1
 
-    def give_back(self, priority: PriorityClass) -> None:
+    def release_slot(self, priority: PriorityClass) -> None:
         """Count one attempt less in flight."""
         if priority is PriorityClass.QUICK:
             self.quick_in_flight -= 1
@@ -84,12 +84,12 @@
     def blocked_until(self) -> float:
         """Return when it may be asked for something again, by its rest and its limit."""
         closed = self.limit.closed_until if self.limit.is_limited else float("-inf")
-        return max(self.asked.rest_until, closed)
+        return max(self.availability.backoff_until, closed)
 
     @property
     def has_asked(self) -> bool:
         """Return whether it has ever asked for rest, or leaves."""
-        return self.asked.rest_until > float("-inf") or self.state is TargetState.LEAVING
+        return self.availability.backoff_until > float("-inf") or self.state is TargetState.LEAVING
 
     @property
     def total_in_flight(self) -> int:
