--- a/tests/passthrough/test_asking.py
+++ b/tests/passthrough/test_asking.py
@@ -182,13 +182,13 @@
     """Forty connections are open and busy when the target asks for a backoff."""
 
     async def scenario(gateway, runners):
-        resting = runners[0]
-        resting.call_seconds = 0.1
+        backing_off = runners[0]
+        backing_off.call_seconds = 0.1
         await asyncio.gather(*(gateway.call() for _ in range(40)))
-        resting.rests.append("1.5")
-        while not resting.asked_at or clock.monotonic() < resting.asked_at[0] + 1.4:
+        backing_off.rests.append("1.5")
+        while not backing_off.asked_at or clock.monotonic() < backing_off.asked_at[0] + 1.4:
             await asyncio.gather(*(gateway.call() for _ in range(40)))
-        assert resting.reached_within(0.1, 1.5) == []
+        assert backing_off.reached_within(0.1, 1.5) == []
         with pytest.raises(KeyError):  # Nothing was counted.
             metrics.sent_in_rest_total.get({"pool": "plain"})
 
--- a/tests/passthrough/test_limited_targets.py
+++ b/tests/passthrough/test_limited_targets.py
@@ -31,7 +31,7 @@
     return 1.5 * per_second * WINDOW_SECONDS + 5
 
 
-async def start(pool, count, **options):
+async def start_runners(pool, count, **options):
     return [await Runner(f"{pool}-{number}", **options).start() for number in range(count)]
 
 
@@ -58,7 +58,7 @@
 @pytest.mark.parametrize(("pool", "path", "options"), ROUTES)
 def test_other_targets_serve_the_requests_beyond_a_rate_limit(pool, path, options):
     async def scenario():
-        limited, idle = await start(pool, 2, **options)
+        limited, idle = await start_runners(pool, 2, **options)
         limited.limit = "2"
         async with EmulatedGateway(table(), [(pool, limited)]) as gateway:
             await gateway.call(path)
@@ -75,7 +75,7 @@
 @pytest.mark.parametrize(("pool", "path", "options"), ROUTES)
 def test_requests_for_a_limited_pool_wait_or_are_refused_with_retry_after(pool, path, options):
     async def scenario():
-        (limited,) = await start(pool, 1, **options)
+        (limited,) = await start_runners(pool, 1, **options)
         limited.limit = "5"
         async with EmulatedGateway(table(), [(pool, limited)]) as gateway:
             await gateway.call(path)
@@ -98,8 +98,8 @@
 
 def test_calls_releases_and_reports_share_one_rate_limit():
     async def scenario():
-        workers = await start("batches", 1, batch=4)
-        (engine,) = await start("engine", 1, events=3)
+        workers = await start_runners("batches", 1, batch=4)
+        (engine,) = await start_runners("engine", 1, events=3)
         workers[0].limit = "3"
         pools = [("batches", workers[0]), ("engine", engine)]
         async with EmulatedGateway(table(stages=STAGES, result_lifetime=4.0), pools) as gateway:
@@ -116,7 +116,7 @@
 
 def test_full_load_resumes_after_responses_without_a_rate_limit():
     async def scenario():
-        (limited,) = await start("plain", 1)
+        (limited,) = await start_runners("plain", 1)
         limited.limit = "1"
         async with EmulatedGateway(table(), [("plain", limited)]) as gateway:
             await gateway.call("/again/x")
@@ -132,7 +132,7 @@
 
 def test_new_incarnation_has_no_rate_limit():
     async def scenario():
-        (limited,) = await start("plain", 1)
+        (limited,) = await start_runners("plain", 1)
         limited.limit = "0.2"
         async with EmulatedGateway(table(), []) as gateway:
             board = gateway.context.board
@@ -157,7 +157,7 @@
 
 def test_reduced_rate_limit_applies_to_permits_granted_before():
     async def scenario():
-        (limited,) = await start("plain", 1)
+        (limited,) = await start_runners("plain", 1)
         limited.limit = "50"
         limited.call_seconds = 0.05
         async with EmulatedGateway(table(), [("plain", limited)]) as gateway:
@@ -176,7 +176,7 @@
 
 def test_backoff_and_rate_limit_apply_together():
     async def scenario():
-        (limited,) = await start("plain", 1)
+        (limited,) = await start_runners("plain", 1)
         limited.limit = "5"
         async with EmulatedGateway(table(), [("plain", limited)]) as gateway:
             await gateway.call("/again/x")
@@ -192,7 +192,7 @@
 
 def test_rate_limit_that_arrives_during_connect_is_respected():
     async def scenario():
-        (limited,) = await start("plain", 1)
+        (limited,) = await start_runners("plain", 1)
         async with EmulatedGateway(table(), [("plain", limited)]) as gateway:
             view = gateway.context.board.view("plain-0")
             async with Attempt(view, gateway.names, None) as attempt:
@@ -208,7 +208,7 @@
 
 def test_permit_of_an_unsent_attempt_is_returned():
     async def scenario():
-        (limited,) = await start("plain", 1)
+        (limited,) = await start_runners("plain", 1)
         async with EmulatedGateway(table(), [("plain", limited)]) as gateway:
             view = gateway.context.board.view("plain-0")
             view.limit.name(1.0, clock.monotonic(), "r", clock.monotonic())
@@ -228,7 +228,7 @@
 
 def test_held_back_request_uses_no_attempt_and_records_no_failure():
     async def scenario():
-        limited, idle = await start("plain", 2)
+        limited, idle = await start_runners("plain", 2)
         async with EmulatedGateway(table(max_attempts=1), [("plain", limited)]) as gateway:
             limited.limit = "0.1"
             await gateway.call("/once/x")
@@ -245,7 +245,7 @@
 
 def test_no_permit_is_requested_while_no_target_names_a_limit(monkeypatch):
     async def scenario():
-        (target,) = await start("plain", 1)
+        (target,) = await start_runners("plain", 1)
         async with EmulatedGateway(table(), [("plain", target)]) as gateway:
             monkeypatch.setattr(gateway.context.permits, "take", None)
             answers = await send_load(gateway, "/again/x", 0.3)
@@ -256,15 +256,15 @@
     run(scenario())
 
 
-def process_response(
-    gateway, status=200, limit=None, sent_at=0.0, is_work=True, answered="r", asked="r"
+def observe(
+    gateway, status=200, limit=None, sent_at=0.0, is_work=True, response_id="r", request_id="r"
 ):
     """Let the gateway process a response head of plain-0; return the rate limit it then knows."""
     view = gateway.context.board.view("plain-0")
     connection = TargetConnection()
-    connection.sent_request = SentRequest(sent_at, asked, is_work, True)
+    connection.sent_request = SentRequest(sent_at, request_id, is_work, True)
     names = gateway.names
-    headers = [(names.request_id.encode(), answered.encode())] if answered else []
+    headers = [(names.request_id.encode(), response_id.encode())] if response_id else []
     headers += [(names.limit.encode(), limit.encode())] if limit else []
     gateway.context.notices.on_response_head(view, connection, ResponseHead(status, headers))
     return view.limit.per_second
@@ -272,22 +272,18 @@
 
 def test_which_responses_end_a_rate_limit():
     async def scenario():
-        (target,) = await start("plain", 1)
+        (target,) = await start_runners("plain", 1)
         async with EmulatedGateway(table(), [("plain", target)]) as gateway:
-            assert process_response(gateway, limit="2", sent_at=10.0) == 2.0
-            assert (
-                process_response(gateway, sent_at=9.0) == 2.0
-            )  # A slow answer to an older request.
-            assert process_response(gateway, sent_at=11.0, is_work=False) == 2.0
-            assert process_response(gateway, sent_at=11.0, status=500) == 2.0
-            assert process_response(gateway, sent_at=11.0, status=503) == 2.0
-            assert process_response(gateway, sent_at=11.0, status=421) == 2.0  # Another life.
-            assert process_response(gateway, sent_at=11.0, answered="another") == 2.0
-            assert process_response(gateway, sent_at=11.0, limit="x") == 2.0
-            assert process_response(gateway, sent_at=11.0) is None
-            assert (
-                process_response(gateway, sent_at=12.0, limit="3", status=503, is_work=False) == 3.0
-            )
+            assert observe(gateway, limit="2", sent_at=10.0) == 2.0
+            assert observe(gateway, sent_at=9.0) == 2.0  # A late response to an older request.
+            assert observe(gateway, sent_at=11.0, is_work=False) == 2.0
+            assert observe(gateway, sent_at=11.0, status=500) == 2.0
+            assert observe(gateway, sent_at=11.0, status=503) == 2.0
+            assert observe(gateway, sent_at=11.0, status=421) == 2.0  # Another incarnation.
+            assert observe(gateway, sent_at=11.0, response_id="another") == 2.0
+            assert observe(gateway, sent_at=11.0, limit="x") == 2.0
+            assert observe(gateway, sent_at=11.0) is None
+            assert observe(gateway, sent_at=12.0, limit="3", status=503, is_work=False) == 3.0
         await target.stop()
 
     run(scenario())
@@ -295,7 +291,7 @@
 
 def test_cell_waits_for_its_limited_workers_instead_of_calling_those_of_another():
     async def scenario():
-        workers = await start("batches", 4, batch=4)
+        workers = await start_runners("batches", 4, batch=4)
         async with EmulatedGateway(table(stages=STAGES), []) as gateway:
             for number, worker in enumerate(workers):
                 gateway.add("batches", worker, "here" if number < 2 else "there")
--- a/tests/passthrough/test_quarantine.py
+++ b/tests/passthrough/test_quarantine.py
@@ -27,7 +27,7 @@
 
 
 @contextlib.asynccontextmanager
-async def restarting_targets(pools, routes, gateways=1, **options):
+async def site(pools, routes, gateways=1, **options):
     """Run gateways that share a leader; their targets start again 0.3 s after they terminate."""
     leader = LocalLeader()
     runners = {}
@@ -90,11 +90,7 @@
 
 def test_quarantined_request_is_refused_with_a_long_retry_after():
     async def scenario():
-        async with restarting_targets({"plain": 4}, table(max_attempts=1)) as (
-            gateways,
-            runners,
-            _,
-        ):
+        async with site({"plain": 4}, table(max_attempts=1)) as (gateways, runners, _):
             (gateway,) = gateways
             answers = await until_quarantined(gateway, runners)
             assert [status for status, _, _ in answers[:-1]] == [502] * 4
@@ -113,11 +109,7 @@
     """This covers the same path with another body, and the same body at another path."""
 
     async def scenario():
-        async with restarting_targets({"plain": 4}, table(max_attempts=1)) as (
-            gateways,
-            runners,
-            _,
-        ):
+        async with site({"plain": 4}, table(max_attempts=1)) as (gateways, runners, _):
             (gateway,) = gateways
             await until_quarantined(gateway, runners)
             await asyncio.sleep(RESTART_SECONDS + 0.1)
@@ -134,11 +126,7 @@
     """The targets terminated for another reason, or were repaired meanwhile."""
 
     async def scenario():
-        async with restarting_targets({"plain": 4}, table(max_attempts=1)) as (
-            gateways,
-            runners,
-            leader,
-        ):
+        async with site({"plain": 4}, table(max_attempts=1)) as (gateways, runners, leader):
             (gateway,) = gateways
             for _ in range(3):
                 assert (await gateway.call("/once/x", FATAL_BODY))[0] == 502
@@ -157,7 +145,7 @@
 def test_trial_is_a_single_attempt_without_a_head_timeout(max_attempts):
     async def scenario():
         routes = table(max_attempts=max_attempts, aim=0.2)
-        async with restarting_targets({"plain": 6}, routes) as (gateways, runners, leader):
+        async with site({"plain": 6}, routes) as (gateways, runners, leader):
             (gateway,) = gateways
             while (found := suspect(leader, "/again/x", FATAL_BODY)) is None or found.ends < 3:
                 await gateway.call("/again/x", FATAL_BODY)
@@ -179,11 +167,7 @@
     async def scenario():
         pools = {"engine": 1, "batches": 4}
         routes = table(stages=STAGES, timeout=5.0, aim=3.0)
-        async with restarting_targets(pools, routes, events=2, batch=4) as (
-            gateways,
-            runners,
-            leader,
-        ):
+        async with site(pools, routes, events=2, batch=4) as (gateways, runners, leader):
             (gateway,) = gateways
             answers = await until_quarantined(
                 gateway, runners, "/staged/x", b"hello", **FATAL_PIECES
@@ -203,11 +187,7 @@
     async def scenario():
         pools = {"engine": 2, "batches": 4}
         routes = table(stages=STAGES, timeout=8.0, aim=6.0)
-        async with restarting_targets(pools, routes, events=2, batch=4) as (
-            gateways,
-            runners,
-            leader,
-        ):
+        async with site(pools, routes, events=2, batch=4) as (gateways, runners, leader):
             (gateway,) = gateways
             for runner in runners:
                 runner.call_seconds = 0.05
@@ -230,11 +210,7 @@
 
 def test_gateway_without_a_leader_protects_its_targets():
     async def scenario():
-        async with restarting_targets({"plain": 8}, table(max_attempts=1)) as (
-            gateways,
-            runners,
-            leader,
-        ):
+        async with site({"plain": 8}, table(max_attempts=1)) as (gateways, runners, leader):
             (gateway,) = gateways
             leader.is_lost = True
             for _ in range(8):
--- a/tests/passthrough/test_requests_that_end_targets.py
+++ b/tests/passthrough/test_requests_that_end_targets.py
@@ -49,7 +49,7 @@
     return {key: pack(row) for key, row in rows.items()}
 
 
-async def start(site, pool, **options):
+async def start_targets(site, pool, **options):
     await site.group.apply_entities("a", 1, configuration())
     for _ in range(TARGETS):
         runner = await site.add(pool, **options)
@@ -91,7 +91,7 @@
 )
 def test_request_that_ends_its_targets_is_quarantined(tmp_path, path, pool, options):
     async def scenario(site):
-        await start(site, pool, **options)
+        await start_targets(site, pool, **options)
         restarter = asyncio.create_task(restart_ended_targets(site, pool))
         answers = []
         for turn in range(10):
@@ -153,7 +153,7 @@
 @pytest.mark.parametrize("event", [restart_gateways_in_turn, lose_the_leader, lose_all_power])
 def test_quarantine_survives(tmp_path, event):
     async def scenario(site):
-        await start(site, "plain")
+        await start_targets(site, "plain")
         async with targets_restarted(site):
             await until_refused_everywhere(site)
             before = ends(site)
@@ -172,7 +172,7 @@
 
 def test_concurrent_copies_at_all_gateways_are_quarantined(tmp_path):
     async def scenario(site):
-        await start(site, "plain")
+        await start_targets(site, "plain")
         async with targets_restarted(site):
             for _ in range(3):
                 await asyncio.gather(
@@ -193,7 +193,7 @@
     """Once the targets are repaired and the quarantine is lifted, the request runs again."""
 
     async def scenario(site):
-        await start(site, "plain")
+        await start_targets(site, "plain")
         async with targets_restarted(site):
             await until_refused_everywhere(site)
         leader = site.group.daemons["a"].leader
--- a/tests/passthrough/test_targets_that_ask.py
+++ b/tests/passthrough/test_targets_that_ask.py
@@ -27,7 +27,7 @@
 REQUESTS_PER_SECOND = 50
 
 
-async def start(pool, count, **options):
+async def start_runners(pool, count, **options):
     return [await Runner(f"{pool}-{number}", **options).start() for number in range(count)]
 
 
@@ -55,17 +55,19 @@
 )
 def test_backoff_is_respected_beside_an_idle_target(path, options, marked):
     async def scenario():
-        resting, idle = await start(pool_of(path), 2, **options)
-        resting.rests.append("3")
-        resting.rests_marked = marked
-        async with EmulatedGateway(table(), [(pool_of(path), resting)]) as gateway:
+        backing_off, idle = await start_runners(pool_of(path), 2, **options)
+        backing_off.rests.append("3")
+        backing_off.rests_marked = marked
+        async with EmulatedGateway(table(), [(pool_of(path), backing_off)]) as gateway:
             await gateway.call(path)
             gateway.add(pool_of(path), idle)
             statuses = await send_load(gateway, path, 4.0)
-        assert len(reached_during_backoff(resting)) <= MAX_DURING_BACKOFF
+        assert len(reached_during_backoff(backing_off)) <= MAX_DURING_BACKOFF
         assert set(statuses) == {200}
-        assert resting.reached_within(BACKOFF_SECONDS, 10.0)  # It is used again after the backoff.
-        for runner in (resting, idle):
+        assert backing_off.reached_within(
+            BACKOFF_SECONDS, 10.0
+        )  # It is used again after the backoff.
+        for runner in (backing_off, idle):
             await runner.stop()
 
     run(scenario())
@@ -78,7 +80,7 @@
 )
 def test_pool_in_backoff_gets_no_requests(path, options, count):
     async def scenario():
-        runners = await start(pool_of(path), count, **options)
+        runners = await start_runners(pool_of(path), count, **options)
         for runner in runners:
             runner.rests.append("3")
         pools = [(pool_of(path), runner) for runner in runners]
@@ -97,8 +99,8 @@
 @pytest.mark.parametrize("count", [1, 2])
 def test_backoff_of_workers_is_respected(count):
     async def scenario():
-        workers = await start("batches", count, batch=4)
-        (engine,) = await start("engine", 1, events=3)
+        workers = await start_runners("batches", count, batch=4)
+        (engine,) = await start_runners("engine", 1, events=3)
         workers[0].rests.append("3")
         pools = [("batches", worker) for worker in workers] + [("engine", engine)]
         async with EmulatedGateway(table(stages=STAGES), pools) as gateway:
@@ -119,7 +121,7 @@
 )
 def test_target_that_announces_its_shutdown_gets_no_new_work(path, options):
     async def scenario():
-        leaving, other = await start(pool_of(path), 2, **options)
+        leaving, other = await start_runners(pool_of(path), 2, **options)
         leaving.leaves = True
         async with EmulatedGateway(table(), [(pool_of(path), leaving)]) as gateway:
             assert (await gateway.call(path))[0] == 200
@@ -135,8 +137,8 @@
 
 def test_leaving_worker_gets_only_releases_of_its_results():
     async def scenario():
-        leaving, other = await start("batches", 2, batch=4)
-        (engine,) = await start("engine", 1, events=3)
+        leaving, other = await start_runners("batches", 2, batch=4)
+        (engine,) = await start_runners("engine", 1, events=3)
         leaving.leaves = True
         pools = [("batches", leaving), ("batches", other), ("engine", engine)]
         async with EmulatedGateway(table(stages=STAGES), pools) as gateway:
--- a/traystall/passthrough/exchange/runner.py
+++ b/traystall/passthrough/exchange/runner.py
@@ -48,8 +48,8 @@
 _MAX_IDLE_SECONDS = 1.0
 # How many times the stages of a request may run, counting the first run.
 _MAX_STAGE_RUNS = 2
-# How long a target may take to respond before another one is tried: at least this time, this ratio
-# of the latency aim, and this multiple of the usual response time.
+# How long a target may take to respond before another one is tried: the largest of this time, this
+# ratio of the latency aim, and this multiple of the usual response time.
 _MIN_HEAD_TIMEOUT_SECONDS = 0.15
 _HEAD_TIMEOUT_AIM_RATIO = 0.45
 _HEAD_TIMEOUT_USUAL_FACTOR = 3.0
@@ -117,7 +117,8 @@
 
         A request is quarantined after targets have terminated while they ran it. The quarantine
         outlives a single arrival: without it, one request terminated nine targets, because each
-        new arrival of the request was sent to another target.
+        new arrival of the request was sent to another target. A trial is a single attempt that
+        tests whether the request still terminates its targets.
         """
         if passed.guarded.trial and not passed.attempts:
             return
--- a/traystall/passthrough/health/board.py
+++ b/traystall/passthrough/health/board.py
@@ -235,7 +235,7 @@
         return max(found, key=lambda view: self._seen_at(view), default=None)
 
     def set_evacuated(self, data_centres: frozenset[str]) -> None:
-        """Use the targets of these data centres no more, and those of all others again."""
+        """Replace the set of evacuated data centres, whose targets get no new work."""
         self.evacuated = data_centres
         self._index()
 
--- a/traystall/passthrough/health/cold.py
+++ b/traystall/passthrough/health/cold.py
@@ -69,8 +69,8 @@
     The sum over all gateways stays within the bound. `divides_all` tells that no gateway acts for
     all, so that the gateways divide the whole bound among them.
     """
-    part = _DIVIDED_RATIO if divides_all else _DIVIDED_RATIO_WITH_COORDINATOR
-    whole = int(rule.whole_bound(per_second) * part)
+    ratio = _DIVIDED_RATIO if divides_all else _DIVIDED_RATIO_WITH_COORDINATOR
+    whole = int(rule.whole_bound(per_second) * ratio)
     names = gateways if own in gateways else [*gateways, own]
     share, left = divmod(whole, len(names))
     if not left:
--- a/traystall/passthrough/health/data_centre_monitor.py
+++ b/traystall/passthrough/health/data_centre_monitor.py
@@ -4,7 +4,7 @@
 Performs no I/O; times are monotonic seconds.
 """
 
-# A data centre is taken as unreachable if this many different peers there do not respond within
+# A data centre is considered unreachable if this many different peers there do not respond within
 # this time.
 _SILENT_PEERS = 2
 _SILENT_WITHIN_SECONDS = 2.0
@@ -19,7 +19,7 @@
 
 
 class DataCentreMonitor:
-    """Track unresponsive peers by data centre; the own one is never taken as unreachable."""
+    """Track unresponsive peers by data centre; the own one is never considered unreachable."""
 
     def __init__(self, own: str):
         self._own = own
@@ -66,5 +66,5 @@
         self._outage_since.pop(data_centre, None)
 
     def is_unreachable(self, data_centre: str, now: float) -> bool:
-        """Return whether a data centre is taken as unreachable."""
+        """Return whether a data centre is considered unreachable."""
         return now < self._outage_until.get(data_centre, float("-inf"))
--- a/traystall/passthrough/health/notices.py
+++ b/traystall/passthrough/health/notices.py
@@ -80,29 +80,34 @@
         values = head.get_all(self._names.limit)
         if not values and not view.limit.has_been_limited:
             return
-        word = parse_limit(values)
-        if word is None:
+        announced = parse_limit(values)
+        if announced is None:
             return
         sent_request = connection.sent_request
-        answered = head.get(self._names.request_id)
-        in_order = sent_request.request_id is None or answered in (None, sent_request.request_id)
-        if word.per_second is None and not (
+        response_request_id = head.get(self._names.request_id)
+        in_order = sent_request.request_id is None or response_request_id in (
+            None,
+            sent_request.request_id,
+        )
+        if announced.per_second is None and not (
             sent_request.is_work and in_order and head.status < _FIRST_FAILURE_STATUS
         ):
             return
-        if word.per_second is not None:
+        if announced.per_second is not None:
             view.limit_connection = connection
-        view.permits.observe_answer(view.report.life, word, sent_request.sent_at, answered or "")
+        view.permits.observe_answer(
+            view.report.life, announced, sent_request.sent_at, response_request_id or ""
+        )
 
     def _start_backoff(self, view, connection, head, seconds, values):
         request = self._request_id(head)
         now = clock.monotonic()
-        was_resting = view.availability.is_backing_off(now)
+        was_backing_off = view.availability.is_backing_off(now)
         if not view.availability.request_backoff(seconds, request, now):
             return
         view.backoff_connection = connection
         self._in_backoff[view.report.life] = view
-        if not was_resting:
+        if not was_backing_off:
             metrics.rests_total.inc({"pool": view.report.pool})
             decision(
                 "target-rests",
--- a/traystall/passthrough/health/pages.py
+++ b/traystall/passthrough/health/pages.py
@@ -37,14 +37,12 @@
 
     async def _list(self, request: Request, _: str) -> Response:
         now = clock.monotonic()
-        availability = [
+        views = [
             view
             for view in self._board.views()
             if view.availability.is_backing_off(now) or view.availability.leaves
         ]
-        return _json_response(
-            200, {"targets": [_backoff_document(view, now) for view in availability]}
-        )
+        return _json_response(200, {"targets": [_backoff_document(view, now) for view in views]})
 
     async def _lift(self, request: Request, target: str) -> Response:
         if not self._is_authorized(request):
--- a/traystall/passthrough/health/probing.py
+++ b/traystall/passthrough/health/probing.py
@@ -41,8 +41,8 @@
             if row.data_centre == data_centre and row.state == "serving"
         ]
         chosen = self._context.random.sample(rows, min(_PROBED_GATEWAYS, len(rows)))
-        heard = await asyncio.gather(*(self._ping(row.rpc_address) for row in chosen))
-        if any(heard):
+        responses = await asyncio.gather(*(self._ping(row.rpc_address) for row in chosen))
+        if any(responses):
             self._context.places.on_response(data_centre)
             decision("data-centre-heard", of=data_centre)
         elif chosen:
