--- a/traystall/passthrough/exchange/runner.py
+++ b/traystall/passthrough/exchange/runner.py
@@ -140,11 +140,12 @@
         return all(self._context.may_repeat(pool, count) for pool, count in pools.items())
 
     async def _run_stages(self, chain, passed):
+        """Run the stages of a request, and set their results as its inputs."""
         if not any(passed.piece_counts):
             return
         began = clock.monotonic()
-        likely = await self._choose(passed, book=False)
-        passed.stages_data_centre = likely.report.data_centre if likely else ""
+        likely_target = await self._choose(passed, book=False)
+        passed.stages_data_centre = likely_target.report.data_centre if likely_target else ""
         self._context.coming[passed.pool] += 1
         try:
             passed.inputs = await self._run_in_cells(chain, passed)
@@ -198,6 +199,7 @@
         return balanced_cell(passed.request_id, cell, cells, workers, engines)
 
     async def _run_attempts(self, passed, sink, chain):
+        """Send the request to one target after another until an attempt gives the final result."""
         unreachable = 0
         failure: Failure | None = None
         while True:
@@ -229,8 +231,8 @@
                 raise InputsLost(failure.reason)
             if not may_try_again(passed, failure, unreachable):
                 return self._finish_failed(passed, sink, failure)
-            counted = failure.kind is not FailureKind.UNREACHABLE
-            if counted and not self._context.may_repeat(passed.pool):
+            uses_budget = failure.kind is not FailureKind.UNREACHABLE
+            if uses_budget and not self._context.may_repeat(passed.pool):
                 return self._finish_failed(passed, sink, failure)
             if sink.is_open and passed.inputs:
                 # The stage results were released when the stream began. The target that continues
@@ -252,20 +254,24 @@
         return view
 
     async def _choose(self, passed, book) -> TargetView | None:
+        """Return a target for the request; `book` counts the prompt as being read by its engine."""
         context = self._context
         pool = context.index.pools.get(passed.pool)
         if pool is not None and pool.engine is not None:
             return await context.placement_service.choose_engine(passed, book)
-        found = [v for v in context.usable(passed.pool, passed.places) if context.cold.may_send(v)]
+        candidates = [
+            v for v in context.usable(passed.pool, passed.places) if context.cold.may_send(v)
+        ]
         mean = context.board.mean_seconds(passed.pool)
         view = choice.choose_target(
-            found, passed.tried, context.data_centre, mean, context.random, clock.monotonic()
+            candidates, passed.tried, context.data_centre, mean, context.random, clock.monotonic()
         )
         if view is not None:
             context.cold.record_sent(view)
         return view
 
     async def _attempt(self, passed, view, sink, chain) -> Response | Failure | None:
+        """Make one attempt; return a response, None after a complete stream, or the failure."""
         passed.tried.add(view.identity)
         passed.target = view.identity
         view.running += 1
@@ -319,6 +325,7 @@
         return view.watched(lambda: self._context.board.end_evidence(view))
 
     async def _exchange(self, passed, view, attempt, sink, chain):
+        """Send the request and process the response; exchange errors are raised."""
         max_idle_seconds = float("inf") if passed.route.is_safe_to_retry else _MAX_IDLE_SECONDS
         patience = self._refusals.max_turn_wait(passed) if view.limit.is_limited else 0.0
         await attempt.open(max_idle_seconds, patience)
@@ -383,6 +390,7 @@
         return Failure(FailureKind.FAILED, f"The target answered {head.status}.", response)
 
     async def _relay_events(self, passed, attempt, sink, chain, view):
+        """Write the events of a stream to the caller; release the inputs at the first event."""
         sent_at = attempt.sent_at
         sink.begin_part(attempt.head)
         async for chunk in attempt.chunks(self._stream_pause_limit(passed)):
@@ -411,6 +419,10 @@
         return max(_MIN_STREAM_PAUSE_SECONDS, passed.route.pause_aim * _STREAM_PAUSE_AIM_FACTOR)
 
     def _finish_failed(self, passed, sink, failure) -> Response | None:
+        """Abort an open stream, pass on the target's own error response, or raise Refusal.
+
+        An error response is passed on only if it does not claim that the request has not run.
+        """
         if sink.is_open:
             return self._abort_stream(passed, sink, failure.reason if failure else "no target")
         response = failure.response if failure else None
