--- a/traystall/passthrough/exchange/attempt.py
+++ b/traystall/passthrough/exchange/attempt.py
@@ -125,7 +125,7 @@
 
     def _raise_held_back(self, where):
         metrics.held_back_total.inc({"pool": self.view.report.pool, "where": where})
-        raise TargetHeldBack(f"{self.view.identity} does not accept this request now.")
+        raise TargetHeldBack(f"{self.view.identity} does not take this now.")
 
     async def read_head(self) -> ResponseHead:
         """Return the head of the response to this request; skip responses to earlier ones."""
@@ -137,7 +137,7 @@
             if self._connection.requests < 2 or head.until_close:
                 break
             await self._connection.body(_MAX_STRAY_BYTES)
-        raise NoAnswer("The response belongs to another request.", sent=True)
+        raise NoAnswer("The answer belongs to another request.", sent=True)
 
     async def read_response(self) -> TargetResponse:
         """Return the complete response."""
@@ -161,7 +161,7 @@
         try:
             return await before(clock.monotonic() + longest_pause, self._connection.chunk())
         except TimeoutError:
-            raise NoAnswer("No data arrived on the stream in time.", sent=True) from None
+            raise NoAnswer("The stream has stalled.", sent=True) from None
 
     def has_not_run(self) -> bool:
         """Return whether the response declares that the target has not run the request."""
--- a/traystall/passthrough/exchange/connection.py
+++ b/traystall/passthrough/exchange/connection.py
@@ -133,7 +133,7 @@
             if isinstance(item, ResponseHead):
                 return item
             if isinstance(item, bytes):
-                raise NoAnswer("Received body bytes instead of a response head.", sent=True)
+                raise NoAnswer("Bytes came where an answer was due.", sent=True)
 
     async def chunk(self) -> bytes:
         """Return the next bytes of the body, empty at its end; raise if the body is truncated."""
@@ -141,7 +141,7 @@
         if item is _END_OF_MESSAGE:
             return b""
         if isinstance(item, ResponseHead):
-            raise NoAnswer("Another response began inside the body.", sent=True)
+            raise NoAnswer("Another answer came inside one.", sent=True)
         return item
 
     async def body(self, limit: int) -> bytes:
@@ -152,7 +152,7 @@
             parts.append(part)
             size += len(part)
             if size > limit:
-                raise NoAnswer(f"The response body exceeds {limit} bytes.", sent=True)
+                raise NoAnswer(f"The answer is over {limit} bytes.", sent=True)
         return b"".join(parts)
 
     def is_reusable(self, head: ResponseHead) -> bool:
@@ -185,7 +185,7 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self._fail(NoAnswer(f"The response is not valid HTTP: {error}.", sent=True))
+            self._fail(NoAnswer(f"What came is no answer: {error}.", sent=True))
 
     def eof_received(self):
         """Record that the target closed its side in order, and close the connection."""
@@ -290,8 +290,8 @@
                 lambda: TargetConnection(observer), host, int(port)
             )
     except TimeoutError as error:
-        raise ConnectFailed(f"Connecting to {address} timed out.", silent=True) from error
+        raise ConnectFailed(f"{address} does not answer.", silent=True) from error
     except (OSError, ValueError) as error:
         refused = isinstance(error, ConnectionRefusedError)
-        raise ConnectFailed(f"Connecting to {address} failed: {error}.", refused=refused) from error
+        raise ConnectFailed(f"{address} cannot be reached: {error}.", refused=refused) from error
     return connection
--- a/traystall/passthrough/exchange/runner.py
+++ b/traystall/passthrough/exchange/runner.py
@@ -237,7 +237,7 @@
             if sink.is_open and passed.inputs:
                 # The stage results were released when the stream began. The target that continues
                 # the stream needs them again.
-                raise InputsLost("The stream continues at another target and needs its inputs.")
+                raise InputsLost("The stream goes on elsewhere and needs its inputs again.")
 
     async def _wait_for_target(self, passed) -> TargetView | None:
         """Return the target for an attempt; wait briefly if one becomes available soon."""
@@ -357,7 +357,7 @@
         except TimeoutError:
             if passed.remaining() <= MIN_ATTEMPT_SECONDS:
                 raise
-            raise NoAnswer("The target did not respond in time.", sent=True) from None
+            raise NoAnswer("The target takes too long.", sent=True) from None
 
     def _head_timeout(self, passed) -> float:
         """Return how long a target may take to respond before another one is tried, in seconds."""
@@ -382,9 +382,7 @@
             return None
         if 200 <= head.status < 300:
             view.on_failure(now, self._context.random)
-            return Failure(
-                FailureKind.DOUBT, "The response is unsigned, or was encoded on the way."
-            )
+            return Failure(FailureKind.DOUBT, "The answer is not the target's own.")
         if head.status >= 500:
             view.on_failure(now, self._context.random)
         return Failure(FailureKind.FAILED, f"The target answered {head.status}.", response)
@@ -404,7 +402,7 @@
                     self._context.learn_engine(passed.prompt.seconds(), first_event_seconds)
                 await sink.write(event)
         if attempt.head.until_close and sink.partial:
-            raise NoAnswer("The stream ended within an event.", sent=True)
+            raise NoAnswer("The stream ended inside an event.", sent=True)
         passed.outcome = "complete"
         self._context.guard.served(passed.guarded)
         await sink.finish()
--- a/traystall/permits/exceptions.py
+++ b/traystall/permits/exceptions.py
@@ -8,4 +8,4 @@
 
     def __init__(self, wait: float):
         self.wait = wait
-        super().__init__(f"No permit for the target is available for {wait:.2f} s.")
+        super().__init__(f"Others have what the target takes for {wait:.2f} s.")
