--- a/tests/consensus/test_power_cuts.py
+++ b/tests/consensus/test_power_cuts.py
@@ -1,4 +1,4 @@
-"""Losses of power at every step of a write: nothing acknowledged is lost or shown older."""
+"""Power failures at every step of a write: acknowledged data is not lost, reads are not stale."""
 
 import os
 from pathlib import Path
@@ -11,15 +11,15 @@
 from traystall.storage import folder as folder_module
 from traystall.storage.folder import DataFolder
 
-SEEDS_A_CASE = 25
+SEEDS_PER_CASE = 25
 CASES = range(12)
 STEPS = 260
 
 pytestmark = pytest.mark.usefixtures("lossy_syncs")
 
 
-def play(path: Path, seeds, steps=STEPS, group_class=PowerGroup):
-    """Play some schedules, each in a folder of its own."""
+def run_schedules(path: Path, seeds, steps=STEPS, group_class=PowerGroup):
+    """Run the schedules of some seeds, each in its own folder."""
     for seed in seeds:
         scratch = path / str(seed)
         scratch.mkdir()
@@ -32,16 +32,16 @@
 
 @pytest.mark.parametrize("case", CASES)
 def test_nothing_acknowledged_is_lost(tmp_path, case):
-    play(tmp_path, range(case * SEEDS_A_CASE, (case + 1) * SEEDS_A_CASE))
+    run_schedules(tmp_path, range(case * SEEDS_PER_CASE, (case + 1) * SEEDS_PER_CASE))
 
 
-# ---- deliberate breakages: the schedules must notice each ----
+# ---- mutation tests: the schedules must detect each deliberate defect ----
 
 
-def breaks(path, group_class=PowerGroup):
-    """Return whether some schedule notices that something is broken."""
+def detects_defect(path, group_class=PowerGroup):
+    """Return whether any schedule detects the defect."""
     try:
-        play(path, range(1000, 1060), group_class=group_class)
+        run_schedules(path, range(1000, 1060), group_class=group_class)
     except (Breach, StorageError):
         return True
     return False
@@ -56,12 +56,12 @@
         return folder_module.Batch(steps)
 
     monkeypatch.setattr(DataFolder, "_write_batch", write_batch)
-    assert breaks(tmp_path)
+    assert detects_defect(tmp_path)
 
 
 def test_notices_a_rename_without_a_sync_of_the_folder(tmp_path, monkeypatch):
     monkeypatch.setattr(DataFolder, "_sync_folder", lambda self: None)
-    assert breaks(tmp_path)
+    assert detects_defect(tmp_path)
 
 
 def test_notices_a_snapshot_that_is_not_synced(tmp_path, monkeypatch):
@@ -72,26 +72,26 @@
         self._sync_folder()
 
     monkeypatch.setattr(DataFolder, "_write_file", write_file)
-    assert breaks(tmp_path)
+    assert detects_defect(tmp_path)
 
 
 def test_notices_answers_that_leave_before_the_sync(tmp_path):
-    class Hasty(PowerHost):
+    class EarlySender(PowerHost):
         def _store(self, ready):
             self.group.send(self, ready.messages_after_sync)
             ready.messages_after_sync = []
             super()._store(ready)
 
-    class HastyGroup(PowerGroup):
-        host_class = Hasty
+    class EarlySenderGroup(PowerGroup):
+        host_class = EarlySender
 
-    assert breaks(tmp_path, HastyGroup)
+    assert detects_defect(tmp_path, EarlySenderGroup)
 
 
 def test_power_is_lost_in_the_middle_of_writes(tmp_path):
-    """The schedules reach what they are for: cuts inside a write, torn tails, all at once."""
+    """The schedules cover power failures inside a write and torn tails."""
     seen = {"torn": 0, "inside": 0}
-    original = folder_module.DataFolder._cut
+    original = folder_module.DataFolder._truncate_segment
 
     class Counting(PowerHost):
         def lose_power(self):
@@ -105,10 +105,10 @@
         seen["torn"] += 1
         original(self, path, length)
 
-    folder_module.DataFolder._cut = cut
+    folder_module.DataFolder._truncate_segment = cut
     try:
-        play(tmp_path, range(10), group_class=CountingGroup)
+        run_schedules(tmp_path, range(10), group_class=CountingGroup)
     finally:
-        folder_module.DataFolder._cut = original
+        folder_module.DataFolder._truncate_segment = original
     assert seen["torn"] > 0 and seen["inside"] > 20
     assert os.listdir(tmp_path)
--- a/tests/storage/test_failing_disk.py
+++ b/tests/storage/test_failing_disk.py
@@ -1,10 +1,10 @@
-"""A disk that is full, fails or tears writes: what was synced stays, what is owed is paid later."""
+"""Full, failing and torn writes: synced data stays, and pending writes become durable later."""
 
 import random
 
 import pytest
 
-from tests.storage.test_folder import MEMBERS, entry, indexes, opened, reopened
+from tests.storage.test_folder import MEMBERS, entry, indexes, open_folder, recover
 from traystall.consensus.models import (
     AppendLog,
     HardState,
@@ -17,8 +17,8 @@
 from traystall.storage import folder as folder_module
 
 
-class Disk:
-    """Refuse operations while `failing`; a refused write may leave a part of itself behind."""
+class FailingDisk:
+    """Fail operations at random while `failing`; a failed write may leave a torn part behind."""
 
     def __init__(self, monkeypatch, rng):
         self.failing = False
@@ -39,10 +39,10 @@
         if "w" in mode or "a" in mode:
             self.check()
         file = self._open(path, mode, **options)
-        return _File(file, self, self._rng) if "a" in mode else file
+        return _FailingFile(file, self, self._rng) if "a" in mode else file
 
 
-class _File:
+class _FailingFile:
     def __init__(self, file, disk, rng):
         self._file = file
         self._disk = disk
@@ -79,55 +79,53 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_what_is_owed_is_paid_in_the_end(tmp_path, monkeypatch, seed):
+def test_pending_writes_become_durable_eventually(tmp_path, monkeypatch, seed):
     rng = random.Random(seed)
-    held, _ = opened(tmp_path)
-    disk = Disk(monkeypatch, rng)
+    folder, _ = open_folder(tmp_path)
+    disk = FailingDisk(monkeypatch, rng)
     model = []
     for _ in range(40):
         writes = _random_writes(rng, model)
         disk.failing = rng.random() < 0.3
-        step = lambda writes=writes: held.write(writes)  # noqa: E731
+        step = lambda writes=writes: folder.write(writes)  # noqa: E731
         for attempt in range(6):
             try:
                 step()
                 break
             except DiskFailed:
-                step = held.retry
+                step = folder.retry
                 disk.failing = attempt < 4
-        assert not held._owed
+        assert not folder._pending
     disk.failing = False
-    held.close()
-    recovered = reopened(tmp_path)
+    folder.close()
+    recovered = recover(tmp_path)
     assert [(i, recovered.log.term_at(i)) for i in indexes(recovered)] == model
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_nothing_synced_is_lost_if_the_process_dies_while_the_disk_fails(
-    tmp_path, monkeypatch, seed
-):
+def test_synced_data_survives_a_crash_while_the_disk_fails(tmp_path, monkeypatch, seed):
     rng = random.Random(seed)
-    held, _ = opened(tmp_path)
-    disk = Disk(monkeypatch, rng)
+    folder, _ = open_folder(tmp_path)
+    disk = FailingDisk(monkeypatch, rng)
     synced = 0
     last = 0
     for _ in range(12):
         count = rng.randint(1, 4)
-        held.write([AppendLog([entry(last + n) for n in range(1, count + 1)])])
+        folder.write([AppendLog([entry(last + n) for n in range(1, count + 1)])])
         last = synced = last + count
     disk.failing = True
     try:
-        held.write([AppendLog([entry(last + n) for n in range(1, 4)])])
+        folder.write([AppendLog([entry(last + n) for n in range(1, 4)])])
         synced = last + 3
     except DiskFailed:
         for _ in range(rng.randrange(4)):
             try:
-                held.retry()
+                folder.retry()
                 synced = last + 3
                 break
             except DiskFailed:
                 pass
     disk.failing = False
-    held.close()
-    recovered = reopened(tmp_path)
+    folder.close()
+    recovered = recover(tmp_path)
     assert synced <= recovered.log.last_index <= last + 3
--- a/traystall/storage/folder.py
+++ b/traystall/storage/folder.py
@@ -1,9 +1,9 @@
 """The data folder of a control daemon: identity, log segments, snapshot.
 
-Everything here blocks; the daemon calls it from one storage thread. A failed
-write or sync raises DiskFailed. After a failed fsync nobody knows what the disk
-holds beyond the last good sync, so nothing is assumed of it: `retry` cuts the
-segment back to its synced length and writes all that is still owed to a new one.
+All operations block; the daemon calls them in an executor, one at a time. A failed write or sync
+raises DiskFailed. After a failed fsync, the content of the disk beyond the last successful sync is
+unknown. `retry` therefore truncates the segment to its synced length and writes all pending writes
+to a new segment.
 """
 
 import contextlib
@@ -34,11 +34,11 @@
 _IDENTITY_FILE = "identity"
 _LOCK_FILE = "lock"
 _SNAPSHOT_FILE = "snapshot"
-_SUM_BYTES = 8
+_CHECKSUM_BYTES = 8
 
 
 class Identity(msgspec.Struct, frozen=True):
-    """Name the holder of a data folder; a new folder is a new incarnation."""
+    """Identify the owner of a data folder; a new folder is a new incarnation."""
 
     cluster: str
     instance: str
@@ -51,7 +51,7 @@
 
 
 class StoredEntry(msgspec.Struct, frozen=True, array_like=True):
-    """Hold one log entry as it lies on disk."""
+    """Hold one log entry in its stored form."""
 
     index: int
     term: int
@@ -60,7 +60,7 @@
 
 
 class Batch(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Hold one synced step: truncate first, then append, with the newest hard state."""
+    """Hold the writes of one record, in order; they are synced together."""
 
     steps: list["BatchStep"]
 
@@ -74,10 +74,10 @@
 
 
 class StoredSnapshot(msgspec.Struct, frozen=True):
-    """Hold a snapshot as it lies on disk.
+    """Hold a snapshot in its stored form.
 
-    Segments numbered below `first_segment` belong to a log that the snapshot
-    replaced: they are ignored, and `hard_state` stands for what they held.
+    Segments with numbers below `first_segment` belong to a log that the snapshot replaced. They are
+    ignored, and `hard_state` replaces the hard state that they recorded.
     """
 
     snapshot: Snapshot
@@ -85,15 +85,15 @@
     first_segment: int
 
 
-class Recovered(msgspec.Struct):
-    """Hold what a data folder knew when it was opened."""
+class RecoveredState(msgspec.Struct):
+    """Hold the hard state and the log recovered from a data folder."""
 
     hard_state: HardState
     log: ReplicaLog
 
 
 class DataFolder:
-    """Own one folder; `open` before use, then `write` batches."""
+    """Manage one data folder; call `open` before any `write`."""
 
     def __init__(self, path: str):
         self._path = Path(path)
@@ -104,17 +104,17 @@
         self._hard_state = HardState()
         self._entries: list[StoredEntry] = []
         self._lock = None
-        # Writes that are not durable yet; a step is made of one when its turn comes.
-        self._owed: list = []
-        # The segment whose write failed, and up to where it is known to be synced.
-        self._damaged: tuple[Path, int] | None = None
+        # Writes that are not durable yet; each is replaced by its BatchStep when it is first tried.
+        self._pending: list = []
+        # The segment whose write failed, and its synced length in bytes.
+        self._damaged_segment: tuple[Path, int] | None = None
         self.identity: Identity | None = None
 
-    def open(self, cluster: str, instance: str) -> Recovered:
+    def open(self, cluster: str, instance: str) -> RecoveredState:
         """Return the recovered state; create the folder and its identity if it is new."""
         try:
             self._path.mkdir(parents=True, exist_ok=True)
-            self._take_lock()
+            self._acquire_lock()
             self.identity = self._load_identity(cluster, instance)
             stored = self._load_snapshot()
             self._replay(stored)
@@ -123,72 +123,72 @@
             raise DiskFailed(f"The data folder {self._path} cannot be used: {error}.") from error
         entries = [_to_wire(entry) for entry in self._entries]
         snapshot = stored.snapshot if stored else None
-        return Recovered(self._hard_state, ReplicaLog(snapshot, entries))
+        return RecoveredState(self._hard_state, ReplicaLog(snapshot, entries))
 
     def write(self, writes) -> None:
         """Make `writes` durable in their order; return only once they are synced.
 
-        After DiskFailed the writes are owed: call `retry` until it succeeds.
+        After DiskFailed the writes stay pending: call `retry` until it succeeds.
         """
-        self._owed += writes
-        self._pay()
+        self._pending += writes
+        self._write_pending()
 
     def retry(self) -> None:
-        """Try again to make durable what is owed; raise DiskFailed if the disk still refuses."""
+        """Try again to make pending writes durable; raise DiskFailed if the disk still fails."""
         try:
-            self._leave_damaged()
+            self._abandon_damaged_segment()
         except OSError as error:
             raise DiskFailed(f"The disk of {self._path} still fails: {error}.") from error
-        self._pay()
+        self._write_pending()
 
-    def _pay(self):
+    def _write_pending(self):
         try:
-            while self._owed:
-                self._pay_next()
+            while self._pending:
+                self._write_next()
         except OSError as error:
-            if self._damaged is None:
-                self._damaged = (self._current_path(), self._segment_bytes)
+            if self._damaged_segment is None:
+                self._damaged_segment = (self._current_path(), self._segment_bytes)
             raise DiskFailed(f"A write to {self._path} failed: {error}.") from error
 
-    def _pay_next(self):
-        if isinstance(self._owed[0], SaveSnapshot):
-            self._save_snapshot(self._owed[0])
-            del self._owed[0]
+    def _write_next(self):
+        if isinstance(self._pending[0], SaveSnapshot):
+            self._save_snapshot(self._pending[0])
+            del self._pending[0]
             return
         steps = []
-        for position, owed in enumerate(self._owed):
-            if isinstance(owed, SaveSnapshot):
-                # What comes after a snapshot must not be counted before it is saved.
+        for position, write in enumerate(self._pending):
+            if isinstance(write, SaveSnapshot):
+                # Writes after a snapshot must not become durable before it is saved.
                 break
-            if not isinstance(owed, BatchStep):
-                owed = self._owed[position] = self._to_step(owed)
-            steps.append(owed)
+            if not isinstance(write, BatchStep):
+                write = self._pending[position] = self._to_step(write)
+            steps.append(write)
         self._write_batch(steps)
-        del self._owed[: len(steps)]
+        del self._pending[: len(steps)]
 
-    def _leave_damaged(self):
-        """Cut the segment whose write failed to what was synced, and go on in a new one."""
-        if self._damaged is None:
+    def _abandon_damaged_segment(self):
+        """Truncate the segment whose write failed to its synced length, and start a new one."""
+        if self._damaged_segment is None:
             return
-        path, synced_bytes = self._damaged
+        path, synced_bytes = self._damaged_segment
         if path.exists():
-            self._cut(path, synced_bytes)
-        self._roll()
-        self._damaged = None
+            self._truncate_segment(path, synced_bytes)
+        self._start_segment()
+        self._damaged_segment = None
 
     def _current_path(self):
         return self._path / f"log-{self._segment_number:012d}.wal"
 
     def close(self) -> None:
         """Close the open files."""
-        for held in (self._segment, self._lock):
-            if held is not None:
-                held.close()
+        for file in (self._segment, self._lock):
+            if file is not None:
+                file.close()
 
     # ---- identity ----
 
-    def _take_lock(self):
-        self._lock = open(self._path / _LOCK_FILE, "w")  # noqa: SIM115 - held until close.
+    def _acquire_lock(self):
+        self._lock = open(self._path / _LOCK_FILE, "w")  # noqa: SIM115 - open until close.
         try:
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError as error:
@@ -197,13 +197,13 @@
     def _load_identity(self, cluster, instance):
         path = self._path / _IDENTITY_FILE
         if path.exists():
-            found = self._read_identity(path)
-            if (found.cluster, found.instance) != (cluster, instance):
+            stored = self._read_identity(path)
+            if (stored.cluster, stored.instance) != (cluster, instance):
                 raise StorageError(
-                    f"The data folder {self._path} belongs to instance '{found.instance}' of "
-                    f"cluster '{found.cluster}', not to '{instance}' of '{cluster}'."
+                    f"The data folder {self._path} belongs to instance '{stored.instance}' of "
+                    f"cluster '{stored.cluster}', not to '{instance}' of '{cluster}'."
                 )
-            return found
+            return stored
         if self._segments() or (self._path / _SNAPSHOT_FILE).exists():
             raise CorruptLog(f"{self._path} holds a log but no identity; it can't be trusted.")
         identity = Identity(cluster, instance, new_id())
@@ -233,12 +233,12 @@
             data = path.read_bytes()
             is_last = path == segments[-1]
             result = scan(data, path.name, is_last)
-            if result.sound_bytes < len(data):
-                self._cut(path, result.sound_bytes)
+            if result.valid_bytes < len(data):
+                self._truncate_segment(path, result.valid_bytes)
             for payload in result.payloads:
                 self._replay_batch(unpack(payload, Batch), base)
 
-    def _cut(self, path, length):
+    def _truncate_segment(self, path, length):
         with open(path, "r+b") as segment:
             segment.truncate(length)
             os.fsync(segment.fileno())
@@ -263,9 +263,9 @@
         segments = self._segments()
         if not segments or self._segment_number < self._first_segment:
             self._segment_number = max(self._segment_number, self._first_segment - 1)
-            self._roll()
+            self._start_segment()
             return
-        self._segment = open(segments[-1], "ab", buffering=0)  # noqa: SIM115 - held until close.
+        self._segment = open(segments[-1], "ab", buffering=0)  # noqa: SIM115 - open until close.
         self._segment_bytes = segments[-1].stat().st_size
 
     def _to_step(self, write):
@@ -284,27 +284,28 @@
         if not steps:
             return
         if self._segment_bytes >= SEGMENT_BYTES:
-            self._roll()
+            self._start_segment()
         record = encode_record(pack(Batch(steps)))
         if self._segment.write(record) != len(record):
             raise OSError(errno.ENOSPC, "The disk took only a part of a record.")
         os.fsync(self._segment.fileno())
         self._segment_bytes += len(record)
 
-    def _roll(self):
+    def _start_segment(self):
         if self._segment is not None:
-            # What a failed write has left in the buffer must not be written by the close.
+            # The file is unbuffered, so closing it can't write the rest of a failed write. Errors
+            # are ignored since nothing more is written to it.
             with contextlib.suppress(OSError):
                 self._segment.close()
         self._segment_number += 1
-        self._segment = open(self._current_path(), "ab", buffering=0)  # noqa: SIM115 - held until close.
+        self._segment = open(self._current_path(), "ab", buffering=0)  # noqa: SIM115 - open until close.
         self._segment_bytes = 0
         self._sync_folder()
 
     # ---- snapshots ----
 
     def _save_snapshot(self, write):
-        """Write the snapshot, then a fresh segment with what is still needed, then drop the old."""
+        """Write the snapshot, then a new segment with the remaining state; delete old segments."""
         snapshot = write.snapshot
         if write.keep_entries:
             self._entries = [e for e in self._entries if e.index > snapshot.index]
@@ -315,14 +316,14 @@
         checksum = xxhash.xxh64_digest(data)
         self._write_file(self._path / _SNAPSHOT_FILE, checksum + data)
         old = self._segments()
-        self._roll()
-        self._write_batch(self._carry_over(snapshot))
+        self._start_segment()
+        self._write_batch(self._steps_carried_over(snapshot))
         for path in old:
             path.unlink(missing_ok=True)
         self._sync_folder()
 
-    def _carry_over(self, snapshot):
-        """Return steps that rebuild the state whatever older segments say."""
+    def _steps_carried_over(self, snapshot):
+        """Return steps that restore the state regardless of the content of older segments."""
         return [
             BatchStep(state=self._hard_state),
             BatchStep(truncate=snapshot.index + 1),
@@ -334,17 +335,17 @@
         if not path.exists():
             return None
         data = path.read_bytes()
-        if xxhash.xxh64_digest(data[_SUM_BYTES:]) != data[:_SUM_BYTES]:
+        if xxhash.xxh64_digest(data[_CHECKSUM_BYTES:]) != data[:_CHECKSUM_BYTES]:
             raise CorruptLog(
                 f"{path.name} has a bad checksum. This disk can't be trusted: move its data "
                 "folder away and replace this member (see the repair page)."
             )
-        return unpack(data[_SUM_BYTES:], StoredSnapshot)
+        return unpack(data[_CHECKSUM_BYTES:], StoredSnapshot)
 
     # ---- files ----
 
     def _write_file(self, path, data):
-        """Replace `path` by `data` so that a crash leaves the old or the new content."""
+        """Replace the content of `path` atomically: a crash leaves the old or the new content."""
         temporary = path.with_suffix(".new")
         with open(temporary, "wb") as file:
             file.write(data)
