--- a/tests/consensus/test_append_width.py
+++ b/tests/consensus/test_append_width.py
@@ -1,7 +1,7 @@
-"""A large entry over the narrow link of a leader must not cost it its place.
+"""A large entry sent over a leader's slow link must not cost it its leadership.
 
-Guards against heartbeats that stand in the queue behind the entry: the followers elect another
-leader, to whom the change is proposed again while the first copies still fill the links.
+Guards against heartbeats that queue behind the entry. The followers would elect another leader, to
+which the change is proposed again while the first copies still fill the links.
 """
 
 import pytest
@@ -14,7 +14,7 @@
 
 
 class Group:
-    """Three replicas; each sends on its own link of a width, shared by the two others."""
+    """Three replicas; each sends over a link of limited bandwidth, shared by its two peers."""
 
     def __init__(self, width):
         self.now = 0.0
@@ -22,8 +22,8 @@
         self.replicas = {name: make_replica(name) for name in VOTERS}
         for seed, replica in enumerate(self.replicas.values()):
             replica._random.seed(seed)
-        self.free_at = {(a, b): 0.0 for a in VOTERS for b in VOTERS}
-        self.on_the_way = []
+        self.link_free_at = {(a, b): 0.0 for a in VOTERS for b in VOTERS}
+        self.in_flight = []
         self.bytes = 0
         self.terms = set()
 
@@ -36,8 +36,8 @@
                     replica.synced(replica.log.last_term, replica.log.last_index)
                 for message in [*ready.messages, *ready.messages_after_sync]:
                     self._send(name, message)
-        due = [entry for entry in self.on_the_way if entry[0] <= self.now]
-        self.on_the_way = [entry for entry in self.on_the_way if entry[0] > self.now]
+        due = [entry for entry in self.in_flight if entry[0] <= self.now]
+        self.in_flight = [entry for entry in self.in_flight if entry[0] > self.now]
         for _, to, message in sorted(due, key=lambda entry: entry[0]):
             self.replicas[to].receive(message, self.now)
 
@@ -48,10 +48,10 @@
         size = len(encode(message))
         self.bytes += size
         pair = (name, message.to)
-        # Two followers share the width while both are sent something: half of it each.
-        at = max(self.now, self.free_at[pair]) + size / (self.width / 2)
-        self.free_at[pair] = at
-        self.on_the_way.append((at, message.to, message))
+        # Each of the two followers gets half of the bandwidth.
+        at = max(self.now, self.link_free_at[pair]) + size / (self.width / 2)
+        self.link_free_at[pair] = at
+        self.in_flight.append((at, message.to, message))
 
     def leader(self):
         found = [r for r in self.replicas.values() if r.role is Role.LEADER]
@@ -65,13 +65,13 @@
         group.step()
     term = group.leader().term
     command = bytes(kilobytes * 1000)
-    began, before = group.now, group.bytes
+    started_at, before = group.now, group.bytes
     committed, proposed = None, 0
     retry_at = group.now
-    while committed is None and group.now < began + 120:
+    while committed is None and group.now < started_at + 120:
         group.step()
         leader = group.leader()
-        # A change that was not confirmed in 2.5 s is repeated, as operators do.
+        # A change that is not confirmed within 2.5 s is repeated, as operators do.
         if leader is not None and group.now >= retry_at:
             leader.propose([command], group.now)
             proposed += 1
@@ -82,11 +82,11 @@
             if any(len(entry.command or b"") == len(command) for entry in entries):
                 committed = group.now
     terms = max(r.term for r in group.replicas.values()) - term
-    took = f"{committed - began:.1f} s" if committed else "never in 120 s"
+    took = f"{committed - started_at:.1f} s" if committed else "never in 120 s"
     alone = 2 * len(command) / group.width
-    told = (
+    summary = (
         f"{kilobytes} KB at {mbit} Mbit/s: committed {took} ({alone:.1f} s alone), {terms} more "
         f"terms, {proposed} proposals, {(group.bytes - before) / 1e6:.1f} MB sent"
     )
-    print(told)
-    assert committed and terms == 0, told
+    print(summary)
+    assert committed and terms == 0, summary
--- a/tests/consensus/test_breakages.py
+++ b/tests/consensus/test_breakages.py
@@ -1,4 +1,4 @@
-"""Show that the matrix can fail: each deliberate breakage must be caught."""
+"""Mutation tests of the fault matrix: each deliberate defect must be detected."""
 
 import pytest
 
@@ -26,7 +26,7 @@
 
 
 def vote_not_synced(patch):
-    """A disk forgets the newest term and vote."""
+    """The disk never stores the term and vote."""
     original = Disk.save
 
     def save(self, write):
@@ -37,7 +37,7 @@
 
 
 def replies_before_sync(patch):
-    """Messages that depend on a write leave before it is synced."""
+    """Messages that depend on a write are sent before it is synced."""
     original = Host._store
 
     def store(self, ready):
@@ -49,12 +49,12 @@
 
 
 def own_log_counts_unsynced(patch):
-    """A replica counts its own entries, and acknowledges, before they are durable."""
-    patch.setattr(Replica, "_matched", lambda self, voter: max(self.log.last_index - 1, 0))
+    """A replica counts entries that have not been acknowledged as durable."""
+    patch.setattr(Replica, "_match_index_of", lambda self, voter: max(self.log.last_index - 1, 0))
 
 
 def wiped_disk_votes(patch):
-    """A wiped disk comes back under the old identity."""
+    """A replica with a wiped disk restarts under its old identity."""
 
     def wipe(self):
         self.disk = Disk()
@@ -64,17 +64,17 @@
 
 
 def lease_not_respected(patch):
-    """A replica votes although it has just heard from a leader."""
+    """A replica grants a vote although it has just heard from a leader."""
     patch.setattr(Replica, "_may_answer_vote", lambda self, request, now: True)
 
 
 def restart_votes_at_once(patch):
-    """A replica votes right after its start, forgetting whom it had promised silence."""
-    patch.setattr(Replica, "_is_new", lambda self: True)
+    """A replica votes right after its start, ignoring a heartbeat that it had acknowledged."""
+    patch.setattr(Replica, "_has_no_state", lambda self: True)
 
 
 def lease_too_long(patch):
-    """The lease is counted from when the acknowledgement came, not from when it was asked."""
+    """The lease starts at the arrival of an acknowledgement, not at the start of its round."""
     original = Progress.acknowledge
 
     def acknowledge(self, round_number, started_at):
@@ -84,12 +84,12 @@
 
 
 def handover_keeps_lease(patch):
-    """A leader that hands over still counts on its lease."""
+    """A leader keeps its lease while it transfers leadership."""
 
     def lease_until(self):
         if not self.is_leader:
             return float("-inf")
-        return self._majority_heard_at() + self.timing.lease
+        return self._majority_contact_at() + self.timing.lease
 
     patch.setattr(Replica, "lease_until", lease_until)
 
@@ -107,7 +107,7 @@
 
 
 def minority_commits(patch):
-    """One acknowledgement is enough."""
+    """One acknowledgement suffices for a commit."""
     for module in ("replica", "replication"):
         name = f"traystall.consensus.{module}.reached_by_majority"
         patch.setattr(name, lambda v: max(v, default=0))
@@ -115,17 +115,17 @@
 
 
 def two_voters_at_once(patch):
-    """A change of members may replace several voters, uncommitted changes notwithstanding."""
+    """A membership change may replace several voters, even during an uncommitted change."""
     patch.setattr("traystall.consensus.replica.is_single_step", lambda old, new: True)
     patch.setattr(ReplicaLog, "members_index", property(lambda self: 0))
 
 
 def old_term_commits(patch):
-    """A leader commits entries of earlier terms by counting copies."""
+    """A leader commits entries of earlier terms by counting replicas that hold them."""
 
     def advance(self):
         matched = [
-            self._synced_index if voter == self.identity else self._matched(voter)
+            self._synced_index if voter == self.identity else self._match_index_of(voter)
             for voter in self.voters
         ]
         self._commit_to(reached_by_majority(matched))
@@ -134,28 +134,28 @@
 
 
 def previous_entry_unchecked(patch):
-    """A follower takes entries without comparing the entry before them."""
+    """A follower accepts entries without a check of the entry before them."""
 
     def fits(self, request):
         return request.prev_index <= self.log.last_index
 
-    patch.setattr(Replica, "_fits", fits)
+    patch.setattr(Replica, "_matches_log", fits)
 
 
 def candidate_log_unchecked(patch):
-    """A vote goes to a candidate whose log is behind."""
+    """A replica grants a vote to a candidate whose log is behind."""
 
     def grants(self, request):
         if request.term < self.term:
             return False
         return request.pre_vote or self.hard_state.vote in ("", request.sender)
 
-    patch.setattr(Replica, "_grants", grants)
+    patch.setattr(Replica, "_grants_vote", grants)
 
 
 def votes_twice(patch):
-    """A replica votes again in the same term."""
-    original = Replica._grants
+    """A replica votes more than once in a term."""
+    original = Replica._grants_vote
 
     def grants(self, request):
         free, self.hard_state = self.hard_state, type(self.hard_state)(self.term, "")
@@ -164,16 +164,16 @@
         finally:
             self.hard_state = free
 
-    patch.setattr(Replica, "_grants", grants)
+    patch.setattr(Replica, "_grants_vote", grants)
 
 
 def snapshot_drops_acknowledged(patch):
-    """A late snapshot throws away entries after it that were acknowledged."""
+    """A delayed snapshot drops later entries that were acknowledged."""
 
     def on_chunk(self, chunk, now):
         if chunk.term < self.term or not chunk.last or chunk.offset:
             return
-        self._follow(chunk.sender, now)
+        self._follow_leader(chunk.sender, now)
         members = decode_members(chunk.members)
         snapshot = Snapshot(chunk.index, chunk.index_term, members, chunk.data)
         self.log.reset(snapshot)
@@ -186,7 +186,7 @@
 
 
 def founds_by_accident(patch):
-    """An empty replica founds a group although others have state."""
+    """An empty replica bootstraps a group although other replicas have a log."""
     original = Host.wipe
 
     def wipe(self):
@@ -202,7 +202,7 @@
 
 
 def resend_by_number_only(patch):
-    """An apply with a number that is taken is accepted whatever its content."""
+    """An apply with a number already in use is accepted even if its content differs."""
     original = Catalog.lookup
 
     def lookup(self, number, content):
@@ -215,7 +215,7 @@
 
 
 def history_lost_in_snapshot(patch):
-    """A snapshot forgets which content won which number."""
+    """A snapshot loses the history of which content was accepted for which number."""
     original = Catalog.restore
 
     def restore(self, data):
@@ -228,7 +228,7 @@
 
 
 def delta_on_wrong_base(patch):
-    """A delta is applied to whatever is held."""
+    """A delta is applied without a check of its base."""
 
     def unchecked(base, base_digest, delta):
         result = {key: value for key, value in base.items() if key not in set(delta.deletes)}
@@ -244,7 +244,7 @@
 
 
 def gateway_steps_back(patch):
-    """A gateway takes whatever revision it is handed."""
+    """A gateway accepts every revision, including older ones."""
 
     def take(self, reply):
         self.tables = ConfigurationTables(reply.number, reply.puts)
@@ -255,7 +255,7 @@
 
 
 def dispatch_before_commit(patch):
-    """A claimant dispatches when it has proposed, not when it has won."""
+    """A claimant dispatches once its claim is proposed, not once it has won."""
     original = Host.propose
 
     def propose(self, command, callback):
@@ -267,7 +267,7 @@
 
 
 def held_claim_wins(patch):
-    """A key that is claimed can be won again."""
+    """A claimed key can be claimed again."""
     original = Ledger._answer_held
 
     def answer(self, entry, command):
@@ -280,7 +280,7 @@
 
 
 def released_claim_wins_again(patch):
-    """A delayed copy of a released claim wins the key back."""
+    """A delayed duplicate of a released claim wins the key again."""
     original = Ledger.claim
 
     def claim(self, command):
@@ -293,17 +293,17 @@
 
 
 def ledger_lost_in_snapshot(patch):
-    """A snapshot leaves the ledger out."""
+    """The ledger in a snapshot is not restored."""
     patch.setattr(Ledger, "restore", lambda self, data: None)
 
 
 def evacuations_lost_in_snapshot(patch):
-    """A snapshot leaves the evacuations out."""
+    """A snapshot omits the evacuations."""
     patch.setattr(Evacuations, "snapshot", lambda self: b"")
 
 
 def evacuation_lost_at_version(patch):
-    """A gateway takes any version for news, an earlier one too."""
+    """A gateway accepts evacuations of any version, including older ones."""
 
     def take(self, told):
         self.places = from_wire(told)
@@ -313,7 +313,7 @@
 
 
 def evacuation_answered_before_commit(patch):
-    """The leader acknowledges an evacuation when it is proposed, not when it is committed."""
+    """The leader acknowledges an evacuation once it is proposed, not once it is committed."""
     original = Host.propose
 
     def propose(self, command, callback):
@@ -321,9 +321,9 @@
             original(self, command, callback)
             return
         original(self, command, lambda result: None)
-        held = Evacuations()
-        held.restore(self.state.evacuations.snapshot())
-        callback(held.order(command))
+        copy = Evacuations()
+        copy.restore(self.state.evacuations.snapshot())
+        callback(copy.order(command))
 
     patch.setattr(Host, "propose", propose)
 
@@ -360,15 +360,15 @@
 ]
 
 
-# Breakages that only a rare schedule shows have a scenario of their own.
+# Defects that only rare schedules expose have a dedicated scenario.
 SCENARIOS = {
-    lease_not_respected: scenarios.test_silent_while_a_leader_may_hold_its_lease,
+    lease_not_respected: scenarios.test_no_vote_while_a_leader_may_hold_its_lease,
     restart_votes_at_once: scenarios.test_no_vote_right_after_a_restart,
     old_term_commits: (
         scenarios.test_entries_of_earlier_terms_commit_only_with_one_of_the_own_term
     ),
     learner_counts: scenarios.test_learners_do_not_count,
-    lease_too_long: scenarios.test_lease_is_counted_from_the_question,
+    lease_too_long: scenarios.test_lease_starts_with_the_acknowledged_round,
     handover_keeps_lease: scenarios.test_handover_ends_the_lease_at_once,
     snapshot_drops_acknowledged: scenarios.test_late_snapshot_keeps_acknowledged_entries,
 }
@@ -382,11 +382,11 @@
         with pytest.raises((AssertionError, IndexError)):
             scenario()
     else:
-        assert any(is_caught(seed) for seed in range(MAX_SEEDS))
+        assert any(is_detected(seed) for seed in range(MAX_SEEDS))
 
 
-def is_caught(seed):
-    """Return whether one schedule notices that something is broken."""
+def is_detected(seed):
+    """Return whether the schedule of a seed detects the defect."""
     group = Group(seed, size=3 + 2 * (seed % 2))
     try:
         group.run(STEPS)
--- a/tests/consensus/test_entry_parts.py
+++ b/tests/consensus/test_entry_parts.py
@@ -1,13 +1,13 @@
-"""Large entries travel in parts: any fault at any step, other releases beside, narrow links.
+"""Large entries sent in parts, under faults at any step, with mixed releases and over slow links.
 
-Guards against an entry that holds up what keeps the leader in its place, and against one that is
-put together of parts that don't belong together.
+Guards against an entry that delays heartbeats until the leader is deposed, and against an entry
+that is assembled from parts of different entries.
 """
 
 import pytest
 
 from tests.consensus.test_append_width import Group as NarrowGroup
-from tests.consensus.test_matrix import FAULTS, inflict
+from tests.consensus.test_matrix import FAULTS, apply_fault
 from tests.consensus.test_replica import acknowledge, elect, make_replica
 from tests.support.group import Group
 from tests.support.release_hosts import RollingHost
@@ -16,7 +16,7 @@
 
 SCHEDULES = 60
 STEPS = 1500
-# So small that nearly all entries of the schedules are large.
+# Small enough that almost all entries of the schedules count as large.
 _SMALL_PART_BYTES = 24
 
 
@@ -26,7 +26,7 @@
 
 
 class RollingGroup(Group):
-    """Run hosts of both releases, which change whenever one starts."""
+    """Run hosts of two releases; each start of a host chooses one at random."""
 
     host_class = RollingHost
 
@@ -34,7 +34,7 @@
 @pytest.mark.parametrize("size", [3, 5])
 @pytest.mark.parametrize("kind", [Group, RollingGroup])
 def test_random_schedules_with_parts(small_parts, kind, size):
-    """Any faults at any time, also while entries are on their way in parts."""
+    """Random faults at any time, also during the transfer of entries in parts."""
     seen = set()
     for seed in range(SCHEDULES):
         group = kind(seed * 10 + size, size)
@@ -48,23 +48,23 @@
 @pytest.mark.parametrize("effect", ["EntryPart", "EntryPartReply"])
 @pytest.mark.parametrize("occurrence", [1, 2, 5, 13, 34])
 def test_fault_at_a_part(small_parts, effect, fault, occurrence):
-    """Strike who sends a part or the answer to one; the group goes on."""
+    """Inject a fault into the sender of a part or of a reply to one; the group recovers."""
     group = Group(f"{effect}{fault}{occurrence}", faults=False)
-    struck = []
+    emitters = []
 
     def hook(kind, host):
         if kind == effect:
-            struck.append(host)
-            if len(struck) == occurrence:
+            emitters.append(host)
+            if len(emitters) == occurrence:
                 group.hook = None
 
     group.hook = hook
     for _ in range(4000):
         group.step()
-        if len(struck) >= occurrence:
+        if len(emitters) >= occurrence:
             break
-    assert len(struck) == occurrence
-    inflict(group, fault, struck[-1])
+    assert len(emitters) == occurrence
+    apply_fault(group, fault, emitters[-1])
     group.run(500)
     group.settle()
 
@@ -73,31 +73,31 @@
     ("kilobytes", "mbit"), [(800, 4), (2500, 10), (1200, 8), (400, 2), (600, 5)]
 )
 def test_small_changes_behind_a_large_one_commit_and_the_leader_stays(kilobytes, mbit):
-    """A change each 0.1 s is proposed while the large one is on its way."""
+    """A small change is proposed every 0.1 s during the transfer of a large one."""
     group = NarrowGroup(mbit * 1e6 / 8)
     while group.leader() is None or group.now < 8:
         group.step()
     leader, term = group.leader(), group.leader().term
-    began, before = group.now, group.bytes
+    started_at, before = group.now, group.bytes
     large = leader.propose([bytes(kilobytes * 1000)], group.now)[0]
     proposed_at = group.now
-    while leader.commit_index < large and group.now < began + 60:
+    while leader.commit_index < large and group.now < started_at + 60:
         if group.now >= proposed_at + 0.1:
             proposed_at = group.now
             last = leader.propose([b"small"], group.now)[0]
         group.step()
-    while leader.commit_index < last and group.now < began + 60:
+    while leader.commit_index < last and group.now < started_at + 60:
         group.step()
     alone = 2 * kilobytes * 1000 / group.width
     assert max(replica.term for replica in group.replicas.values()) == term
     assert leader.commit_index >= last
-    assert group.now - began < 3 * alone + 1
-    # Twice to two followers would be four times its size.
+    assert group.now - started_at < 3 * alone + 1
+    # The entry goes to two followers; sending it twice to each would take 4 times its size.
     assert group.bytes - before < 2.5 * kilobytes * 1000
 
 
 def leader_with_large_entry(parts=4, takes_parts=True):
-    """Return a leader that has proposed an entry of so many parts, and its time."""
+    """Return a leader that has proposed an entry of `parts` parts, and its time."""
     leader = elect(make_replica("a/1"), 5.0)
     for peer in ("b/1", "c/1"):
         acknowledge(leader, peer, leader.log.last_index, 5.0)
@@ -114,7 +114,7 @@
 
 
 def exchange(leader, follower, now, most=50):
-    """Pass parts and answers between both until nothing is said; return how many parts."""
+    """Pass parts and replies between both until none are left; return the number of parts."""
     count = 0
     for _ in range(most):
         parts = sent(leader, EntryPart)
@@ -130,7 +130,7 @@
 
 
 def follower_of(leader):
-    """Return a follower that holds all that the leader has but the large entry."""
+    """Return a follower that holds the leader's log except for the large entry."""
     follower = make_replica("c/1", now=-10.0, term=leader.term)
     for index in range(2, leader.log.last_index):
         follower.log.append(leader.log.between(index, index)[0])
@@ -145,14 +145,14 @@
     assert leader.progress["c/1"].match_index == leader.log.last_index
 
 
-def test_who_has_not_said_that_it_takes_parts_gets_none():
+def test_peer_without_announced_support_gets_no_parts():
     leader, _ = leader_with_large_entry(takes_parts=None)
     assert sent(leader, EntryPart) == []
     leader, _ = leader_with_large_entry(takes_parts=False)
     assert sent(leader, EntryPart) == []
 
 
-def test_follower_that_starts_again_gets_the_entry_from_its_beginning():
+def test_restarted_follower_gets_the_entry_from_its_beginning():
     leader, now = leader_with_large_entry(parts=4)
     follower = follower_of(leader)
     first = sent(leader, EntryPart)[0]
@@ -171,10 +171,10 @@
     other.entry_term, other.offset = first.entry_term - 1, PART_BYTES
     follower.receive(other, now)
     assert [reply.offset for reply in sent(follower, EntryPartReply, to="a/1")] == [PART_BYTES, 0]
-    assert len(follower._parts[1]) == 0
+    assert len(follower._received_parts[1]) == 0
 
 
-def test_last_part_that_comes_again_while_the_entry_is_synced_starts_nothing_anew():
+def test_duplicate_last_part_during_the_sync_starts_no_new_transfer():
     leader, now = leader_with_large_entry(parts=1)
     leader.propose([bytes(2 * PART_BYTES)], now)
     follower = follower_of(leader)
@@ -196,4 +196,4 @@
     )
     follower.receive(part, now)
     assert sent(follower, EntryPartReply, to="a/1") == []
-    assert follower._parts is None
+    assert follower._received_parts is None
--- a/tests/consensus/test_matrix.py
+++ b/tests/consensus/test_matrix.py
@@ -1,4 +1,4 @@
-"""Every fault at every effect of the core, under seeded schedules."""
+"""Fault matrix: each kind of fault at each kind of effect of the core, in seeded schedules."""
 
 import pytest
 
@@ -7,13 +7,13 @@
 SCHEDULES = 150
 STEPS = 1500
 FAULTS = ("crash", "freeze", "cut", "wipe", "lose", "duplicate")
-# Which occurrences of an effect are struck.
+# The occurrences of an effect at which a fault is injected.
 OCCURRENCES = (1, 2, 5, 13, 34)
 
 
 @pytest.mark.parametrize("size", [3, 5])
 def test_random_schedules(size):
-    """Any faults at any time, also several at once."""
+    """Random faults at any time, also several at once."""
     for seed in range(SCHEDULES):
         group = Group(seed * 10 + size, size)
         group.run(STEPS)
@@ -21,7 +21,7 @@
 
 
 def known_effects():
-    """Return the effects that the core emits, learned by running it."""
+    """Return the effects that the core emits, collected from test runs."""
     found = set()
     for seed in range(40):
         group = Group(seed)
@@ -33,7 +33,7 @@
 EFFECTS = known_effects()
 
 
-def test_the_matrix_knows_every_message_and_write():
+def test_matrix_covers_every_message_and_write():
     assert {"VoteRequest", "VoteReply", "AppendRequest", "AppendReply"} <= set(EFFECTS)
     assert {"SnapshotChunk", "SnapshotReply", "TimeoutNow"} <= set(EFFECTS)
     assert {"sync", "apply", "tick"} <= set(EFFECTS)
@@ -42,18 +42,18 @@
 @pytest.mark.parametrize("fault", FAULTS)
 @pytest.mark.parametrize("effect", EFFECTS)
 def test_fault_at_effect(effect, fault):
-    """Strike at chosen occurrences of one effect; then a second fault follows at random."""
+    """Inject a fault at chosen occurrences of one effect, then random further faults."""
     for occurrence in OCCURRENCES:
         group = Group(f"{effect}{fault}{occurrence}", faults=False)
-        strike_at(group, effect, fault, occurrence)
+        inject_at(group, effect, fault, occurrence)
         group.run(500)
         group.faults = True
         group.run(150)
         group.settle()
 
 
-def strike_at(group, effect, fault, occurrence):
-    """Arrange for `fault` to hit the host that emits `effect` for the n-th time."""
+def inject_at(group, effect, fault, occurrence):
+    """Inject `fault` into the host that emits `effect` for the n-th time."""
     seen = 0
 
     def hook(kind, host):
@@ -62,23 +62,23 @@
             return
         seen += 1
         if seen == occurrence:
-            group.struck = (fault, host)
+            group.fault_to_apply = (fault, host)
 
     def step():
-        group.struck = None
+        group.fault_to_apply = None
         original_step()
-        if group.struck is not None:
-            fault_now, host = group.struck
-            inflict(group, fault_now, host)
+        if group.fault_to_apply is not None:
+            fault_now, host = group.fault_to_apply
+            apply_fault(group, fault_now, host)
 
-    group.struck = None
+    group.fault_to_apply = None
     group.hook = hook
     original_step = group.step
     group.step = step
 
 
-def inflict(group, fault, host):
-    """Hit a host with one fault."""
+def apply_fault(group, fault, host):
+    """Apply one fault to a host or to the messages in flight."""
     if fault == "lose" and group.messages:
         group.messages.pop()
     elif fault == "duplicate" and group.messages:
--- a/tests/consensus/test_replica.py
+++ b/tests/consensus/test_replica.py
@@ -1,4 +1,4 @@
-"""Single rules of the replica, each in the smallest scenario that needs it."""
+"""Unit tests for the rules of the replica, each with a minimal scenario."""
 
 import random
 
@@ -119,12 +119,12 @@
 
 
 def sent(replica, kind):
-    """Return the messages of one kind that the replica asks to send, now or after a sync."""
+    """Return the messages of one type that the replica outputs, before or after a sync."""
     ready = replica.take_ready()
     return [m for m in ready.messages + ready.messages_after_sync if isinstance(m, kind)]
 
 
-def test_silent_while_a_leader_may_hold_its_lease():
+def test_no_vote_while_a_leader_may_hold_its_lease():
     follower = make_replica("b/1", now=-10.0)
     follower.receive(append("a/1", follower, 1), 0.0)
     follower.take_ready()
@@ -160,7 +160,7 @@
     assert not leader.holds_lease(5.0)
 
 
-def test_lease_is_counted_from_the_question():
+def test_lease_starts_with_the_acknowledged_round():
     leader = elect(make_replica("a/1"), 5.0)
     acknowledge(leader, "b/1", leader.log.last_index, 5.8)
     assert leader.holds_lease(5.0 + TIMING.lease * 0.99)
@@ -260,9 +260,11 @@
 
 
 @pytest.mark.parametrize(
-    ("silent_since", "votes"), [(None, False), (9.5, False), (9.0, True), (20.0, False)]
+    ("previous_ended_at", "votes"), [(None, False), (9.5, False), (9.0, True), (20.0, False)]
 )
-def test_silence_before_the_start_counts_as_silence(silent_since, votes):
+def test_time_since_the_previous_incarnation_counts_towards_the_vote_delay(
+    previous_ended_at, votes
+):
     made = make_replica(now=10.0)
     replica = Replica(
         "a/1",
@@ -272,7 +274,7 @@
         10.0,
         made.hard_state,
         made.log,
-        silent_since=silent_since,
+        previous_ended_at=previous_ended_at,
     )
     replica.receive(vote_request("b/1", replica, 2), 10.01)
     granted = [m.granted for m in replica.take_ready().messages_after_sync]
@@ -286,6 +288,6 @@
             "a/1", "main", TIMING, random.Random(seed), 10.0, made.hard_state, made.log
         )
         replica.tick(10.0 + TIMING.heartbeat)
-        assert replica.role is Role.FOLLOWER, "a leader that lives must be heard first"
+        assert replica.role is Role.FOLLOWER, "a live leader must be heard from first"
         replica.tick(10.0 + TIMING.election_min)
         assert replica.role is Role.PRE_CANDIDATE
--- a/tests/consensus/test_snapshot_transfer.py
+++ b/tests/consensus/test_snapshot_transfer.py
@@ -1,4 +1,4 @@
-"""A snapshot over a link slower than a heartbeat: chunks are sent again, replies come twice."""
+"""Snapshot transfer over a link with a long delay: chunks are resent, replies are duplicated."""
 
 from tests.consensus.test_replica import TIMING, acknowledge, elect, make_replica
 from traystall.consensus.log import ReplicaLog
@@ -6,13 +6,13 @@
 from traystall.rpc.gen.wire.ttypes import SnapshotChunk, SnapshotReply
 
 CHUNKS = 40
-# How long a message takes on the slow link, in seconds: a reply comes after some heartbeats.
+# Latency of the slow link; a reply arrives after several heartbeats.
 LINK_SECONDS = 2.3 * TIMING.heartbeat
 STEP_SECONDS = TIMING.heartbeat / 10
 
 
 def leader_with_snapshot():
-    """Return a leader whose log begins after a snapshot of some chunks, and its time."""
+    """Return a leader whose log starts after a snapshot of `CHUNKS` chunks, and its time."""
     leader = elect(make_replica("a/1"), 5.0)
     acknowledge(leader, "b/1", leader.log.last_index, 5.0)
     leader.take_ready()
@@ -23,12 +23,12 @@
 
 
 def transfer(lost=lambda count: False):
-    """Return the chunks that a leader sends until an empty follower has its snapshot."""
+    """Return how many chunks a leader sends until an empty follower has its snapshot."""
     leader, now = leader_with_snapshot()
     follower = make_replica("c/1", now=-10.0)
     follower.log = ReplicaLog()
     follower.commit_index = follower.applied_index = 0
-    on_the_way, sent = [], 0
+    in_flight, sent = [], 0
     for _ in range(20_000):
         now += STEP_SECONDS
         leader.tick(now)
@@ -40,9 +40,9 @@
                 if isinstance(message, SnapshotChunk):
                     sent += 1
                 if isinstance(message, SnapshotChunk | SnapshotReply) and not lost(sent):
-                    on_the_way.append((now + LINK_SECONDS, to, message))
-        due = [entry for entry in on_the_way if entry[0] <= now]
-        on_the_way = [entry for entry in on_the_way if entry[0] > now]
+                    in_flight.append((now + LINK_SECONDS, to, message))
+        due = [entry for entry in in_flight if entry[0] <= now]
+        in_flight = [entry for entry in in_flight if entry[0] > now]
         for _, to, message in due:
             to.receive(message, now)
         if follower.commit_index >= leader.log.snapshot_index:
@@ -51,9 +51,9 @@
 
 
 def test_a_reply_that_comes_twice_starts_no_second_transfer():
-    """Answered by a chunk each time, every resend adds a transfer to those that run."""
+    """If each duplicate reply triggered a chunk, every resend would start a parallel transfer."""
     assert transfer() <= 6 * CHUNKS
 
 
-def test_lost_chunks_and_replies_are_made_up_for():
+def test_lost_chunks_and_replies_are_resent():
     assert transfer(lost=lambda count: count % 5 == 2) <= 10 * CHUNKS
--- a/tests/consensus/test_snapshot_width.py
+++ b/tests/consensus/test_snapshot_width.py
@@ -1,4 +1,4 @@
-"""A snapshot over a link of a certain width: what is sent again stands in the queue before it."""
+"""Snapshot transfer over a link of limited bandwidth, where resent chunks queue ahead of others."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 CHUNKS = 40
 STEP_SECONDS = TIMING.heartbeat / 10
-# As rpc.client: one-way messages are dropped beyond that.
+# As in rpc.client, which drops one-way messages beyond this limit.
 MAX_UNSENT_BYTES = 8 * 1024 * 1024
 
 
@@ -21,28 +21,28 @@
     follower = make_replica("c/1", now=-10.0)
     follower.log = ReplicaLog()
     follower.commit_index = follower.applied_index = 0
-    began, free_at, on_the_way, sent = now, now, [], 0
+    started_at, link_free_at, in_flight, sent = now, now, [], 0
     while follower.commit_index < leader.log.snapshot_index:
         now += STEP_SECONDS
-        assert now < began + 1000, f"not arrived after 1000 s, {sent} chunks sent"
+        assert now < started_at + 1000, f"not arrived after 1000 s, {sent} chunks sent"
         leader.tick(now)
         acknowledge(leader, "b/1", leader.log.last_index, now, leader._round)
         for replica, to in ((leader, follower), (follower, leader)):
             ready = replica.take_ready()
             for message in [*ready.messages, *ready.messages_after_sync] if ready else []:
                 if isinstance(message, SnapshotChunk):
-                    if (free_at - now) * width > MAX_UNSENT_BYTES:
+                    if (link_free_at - now) * width > MAX_UNSENT_BYTES:
                         continue
                     sent += 1
-                    free_at = max(now, free_at) + len(message.data) / width
-                    on_the_way.append((free_at, to, message))
+                    link_free_at = max(now, link_free_at) + len(message.data) / width
+                    in_flight.append((link_free_at, to, message))
                 elif isinstance(message, SnapshotReply):
-                    on_the_way.append((now, to, message))
-        due = [entry for entry in on_the_way if entry[0] <= now]
-        on_the_way = [entry for entry in on_the_way if entry[0] > now]
+                    in_flight.append((now, to, message))
+        due = [entry for entry in in_flight if entry[0] <= now]
+        in_flight = [entry for entry in in_flight if entry[0] > now]
         for _, to, message in due:
             to.receive(message, now)
     alone = CHUNKS * SNAPSHOT_CHUNK_BYTES / width
-    told = f"{sent} chunks for {CHUNKS}, {now - began:.1f} s for {alone:.1f} s alone"
-    print(told)
-    assert sent <= 1.5 * CHUNKS, told
+    summary = f"{sent} chunks for {CHUNKS}, {now - started_at:.1f} s for {alone:.1f} s alone"
+    print(summary)
+    assert sent <= 1.5 * CHUNKS, summary
--- a/tests/consensus/test_suspects.py
+++ b/tests/consensus/test_suspects.py
@@ -1,4 +1,4 @@
-"""Ends of targets, trials and refusals under random faults of the control group."""
+"""Suspects under random faults of the control group: reported ends, trials and refusals."""
 
 import asyncio
 
@@ -25,9 +25,9 @@
 
 
 class SuspectGroup(Group):
-    """Add gateways that report ends, ask for trials and watch.
+    """Add gateways that report ended targets, request trials and watch.
 
-    Nothing is ever served, lifted or forgotten here, so what was acknowledged once holds for good.
+    No suspicion is ever cleared here, so every acknowledged decision must remain in force.
     """
 
     def __init__(self, seed, size=3):
@@ -35,7 +35,7 @@
         self.held = [SuspectCache() for _ in range(2)]
         self.granted = {digest: set() for digest in DIGESTS}
         self.refused = set()
-        self.told = {}
+        self.content_by_version = {}
         self._number = 0
 
     def _choose(self):
@@ -64,7 +64,7 @@
         self._number += 1
         digest, trial = self.random.choice(DIGESTS), f"t-{self._number}"
         command = BeginTrial(digest, trial, self.time)
-        # Who asked before may be answered late, by a leader that was frozen meanwhile.
+        # A trial requested before the refusal may be answered late by a leader that was suspended.
         was_refused = digest in self.refused
         host.propose(command, lambda result: self._answered(digest, trial, result, was_refused))
 
@@ -79,49 +79,49 @@
                 raise Breach(f"{digest} got {len(self.granted[digest])} trials")
 
     def _watch_suspects(self):
-        """A gateway hears of suspects from any live host, however far behind."""
+        """Update a gateway's suspects from any live host, even one that is far behind."""
         host = self._any(lambda h: h.runs)
         if host is None:
             return
-        held = self.random.choice(self.held)
-        before = held.version
-        held.take(to_wire(host.state.suspects, held.version))
-        if held.version < before:
-            raise Breach("a gateway stepped back to earlier suspects")
-        content = {digest: held.get(digest).ends for digest in DIGESTS if held.get(digest)}
-        if self.told.setdefault(held.version, content) != content:
-            raise Breach(f"suspects at version {held.version} have two contents")
+        cache = self.random.choice(self.held)
+        before = cache.version
+        cache.take(to_wire(host.state.suspects, cache.version))
+        if cache.version < before:
+            raise Breach("a gateway went back to an older version of the suspects")
+        content = {digest: cache.get(digest).ends for digest in DIGESTS if cache.get(digest)}
+        if self.content_by_version.setdefault(cache.version, content) != content:
+            raise Breach(f"suspects at version {cache.version} have two contents")
 
     def check_kept(self):
-        """Check that whoever leads in the end knows each refusal that was told."""
+        """Check that the final leader knows every refusal that was acknowledged."""
         table = self.lease_holder().state.suspects
         for digest in self.refused:
             if table.get(digest) is None or table.get(digest).refused_at is None:
                 raise Breach(f"the refusal of {digest} was lost")
 
 
-def play(seed):
-    async def story():
+def run_schedule(seed):
+    async def scenario():
         group = SuspectGroup(seed, 3 + 2 * (seed % 2))
         group.run(STEPS)
         group.settle()
         group.check_kept()
         return len(group.refused)
 
-    return asyncio.run(story())
+    return asyncio.run(scenario())
 
 
 def test_refusals_hold_and_trials_are_few_under_any_faults():
-    assert sum(play(seed) for seed in range(SCHEDULES)) > SCHEDULES // 4
+    assert sum(run_schedule(seed) for seed in range(SCHEDULES)) > SCHEDULES // 4
 
 
 def lost_in_snapshots(patch):
-    """A snapshot leaves the suspects out."""
+    """A snapshot omits the suspects."""
     patch.setattr(SuspectTable, "snapshot", lambda self: b"")
 
 
 def trials_not_counted(patch):
-    """Whoever asks is granted one more trial."""
+    """Every request is granted one more trial."""
     original = SuspectTable.begin_trial
 
     def begin_trial(self, command):
@@ -135,7 +135,7 @@
 
 
 def gateway_takes_any_version(patch):
-    """A gateway takes an earlier version for news."""
+    """A gateway accepts an older version as an update."""
     original = SuspectCache.take
 
     def take(self, told):
@@ -151,11 +151,11 @@
 def test_breakage_is_noticed(breakage, monkeypatch):
     breakage(monkeypatch)
 
-    def is_noticed(seed):
+    def is_detected(seed):
         try:
-            play(seed)
+            run_schedule(seed)
         except (Breach, ConsensusError, AssertionError):
             return True
         return False
 
-    assert any(is_noticed(seed) for seed in range(SCHEDULES))
+    assert any(is_detected(seed) for seed in range(SCHEDULES))
--- a/traystall/consensus/elections.py
+++ b/traystall/consensus/elections.py
@@ -1,6 +1,6 @@
-"""Votes of a replica: asking for them, and granting them only where no lease can be broken.
+"""Elections: requesting votes, and granting them only if no leader can still hold a lease.
 
-A part of `Replica`, which holds the state that these methods read and change.
+This is a mixin of `Replica`, which holds the state that these methods read and change.
 """
 
 from traystall.consensus.models import HardState, Role
@@ -9,7 +9,7 @@
 
 
 class Elections:
-    """Stand for election, and answer those who do."""
+    """Run for leader, and answer the vote requests of other replicas."""
 
     def _start_pre_vote(self, now):
         self.role = Role.PRE_CANDIDATE
@@ -28,7 +28,7 @@
         self._votes = set()
         self._reset_election_timer(now)
         requests = self._vote_requests(self.term, pre_vote=False, handover=handover)
-        # The own vote also comes as a message, so that it counts only once it is synced.
+        # The own vote is sent as a message too, so that it counts only after it is synced.
         own_vote = VoteReply(
             **self._envelope(self.identity),
             granted=True,
@@ -54,7 +54,7 @@
             return
         if request.term > self.term and not request.pre_vote:
             self._become_follower(request.term, "", now)
-        granted = self._grants(request)
+        granted = self._grants_vote(request)
         if granted and not request.pre_vote:
             self._set_hard_state(HardState(term=self.term, vote=request.sender))
             self._reset_election_timer(now)
@@ -67,19 +67,19 @@
         self._ready.messages_after_sync.append(reply)
 
     def _may_answer_vote(self, request, now):
-        """Stay silent while a leader may hold a lease that counts on this replica."""
-        if now < self._may_vote_after and not self._is_new():
+        """Return False while a leader may hold a lease that relies on this replica's silence."""
+        if now < self._may_vote_after and not self._has_no_state():
             return False
         if request.handover:
             return True
         if self.is_leader and not request.term <= self.term:
-            return now > self._quorum_contact() + self.timing.election_min
-        return now >= self._heard_from_leader + self.timing.election_min
+            return now > self._quorum_contact_at() + self.timing.election_min
+        return now >= self._leader_contact_at + self.timing.election_min
 
-    def _is_new(self):
+    def _has_no_state(self):
         return self.term == 0 and self.log.last_index == 0
 
-    def _grants(self, request):
+    def _grants_vote(self, request):
         if request.term < self.term:
             return False
         up_to_date = (request.last_term, request.last_index) >= (
--- a/traystall/consensus/entry_parts.py
+++ b/traystall/consensus/entry_parts.py
@@ -1,35 +1,38 @@
-"""Transfer of large entries between replicas, a part at a time, with heartbeats in between.
+"""Transfer of large entries between replicas in parts, with heartbeats in between.
 
-A part of `Replica`, which holds the state that these methods read and change. Sent as one message,
-an entry that takes longer over a link than an election holds up what keeps the leader in its place.
+This is a mixin of `Replica`, which holds the state that these methods read and change. If a large
+entry were sent as one message, heartbeats would queue behind it. On a link where that takes longer
+than an election timeout, the followers would elect another leader.
 """
 
 from traystall.consensus.transfers import Transfer
 from traystall.rpc.gen.wire.ttypes import AppendRequest, EntryPart, EntryPartReply, LogEntry
 
-# Two followers at 2 Mbit/s: 0.26 s each, which the shortest election in use bears.
+# Sent to two followers over a shared 2 Mbit/s link, a part takes 0.26 s to reach each of them. The
+# shortest election timeout in use tolerates this delay.
 PART_BYTES = 32 * 1024
-# The largest entry that is put together: as large as a message that proposes one may be.
+# The largest entry that is assembled from parts; a message that proposes an entry has the same
+# limit.
 MAX_ENTRY_BYTES = 64 * 1024 * 1024
 
 
 def is_large(entry) -> bool:
-    """Return whether an entry is sent in parts to those that take them."""
+    """Return whether an entry is sent in parts to peers that support this."""
     return len(entry.command or b"") > PART_BYTES
 
 
 class EntryTransfer:
-    """Send a large entry to a peer that holds all before it, and put one together."""
+    """Send a large entry in parts to a peer whose log precedes it, and assemble received parts."""
 
     def _send_part(self, peer, entry, now):
         progress = self.progress[peer]
         key = (entry.index, entry.term)
         if progress.entry is None or progress.entry.key != key:
             progress.entry = Transfer(key, wait=2 * self.timing.heartbeat)
-        if progress.entry.is_waiting(now):
+        if progress.entry.awaits_reply(now):
             return
         offset = progress.entry.offset
-        progress.entry.note_sent(now)
+        progress.entry.record_sent(now)
         self._ready.messages.append(
             EntryPart(
                 **self._envelope(peer),
@@ -49,49 +52,49 @@
         if part.term < self.term:
             self._reply_append(part, success=False, match=0, hint=self.log.last_index)
             return
-        self._follow(part.sender, now)
+        self._follow_leader(part.sender, now)
         if self._has_entry(part):
-            # A part that was sent again while the whole entry was being synced.
+            # The leader sent this part again while the complete entry was being synced.
             self._reply_append(part, success=True, match=part.index, hint=0)
             return
-        held = self._parts_of(part)
-        most = min(part.size, MAX_ENTRY_BYTES)
-        if part.offset == len(held) and len(held) + len(part.data) <= most:
-            held.extend(part.data)
-        if len(held) == part.size:
-            self._on_append_request(_whole(part, bytes(held)), now)
+        received = self._entry_buffer(part)
+        max_bytes = min(part.size, MAX_ENTRY_BYTES)
+        if part.offset == len(received) and len(received) + len(part.data) <= max_bytes:
+            received.extend(part.data)
+        if len(received) == part.size:
+            self._on_append_request(_to_append_request(part, bytes(received)), now)
             if self._has_entry(part):
-                self._parts = None
+                self._received_parts = None
             return
         reply = EntryPartReply(
             **self._envelope(part.sender),
             index=part.index,
             entry_term=part.entry_term,
-            offset=len(held),
+            offset=len(received),
             round=part.round,
         )
         self._ready.messages_after_sync.append(reply)
 
     def _has_entry(self, part) -> bool:
-        """Return whether the log holds the entry, or a snapshot that covers it."""
+        """Return whether the log contains the entry or a snapshot that covers it."""
         if part.index < self.log.snapshot_index:
             return True
         return self.log.term_at(part.index) == part.entry_term
 
-    def _drop_parts(self, index):
-        """Give up what is held of an entry at `index` or before: another one is committed there."""
-        if self._parts is not None and self._parts[0][0] <= index:
-            self._parts = None
+    def _discard_parts(self, index):
+        """Discard received parts of an entry at `index` or before, where another is committed."""
+        if self._received_parts is not None and self._received_parts[0][0] <= index:
+            self._received_parts = None
 
-    def _parts_of(self, part) -> bytearray:
-        """Return what is held of the entry; parts of one other entry are dropped for it.
+    def _entry_buffer(self, part) -> bytearray:
+        """Return the buffer of received parts of the entry; discard those of any other entry.
 
-        An index and a term name one entry, so parts of it that an earlier leader sent still count.
+        An index and a term identify an entry, so parts from an earlier leader remain valid.
         """
         key = (part.index, part.entry_term, part.size)
-        if self._parts is None or self._parts[0] != key:
-            self._parts = (key, bytearray())
-        return self._parts[1]
+        if self._received_parts is None or self._received_parts[0] != key:
+            self._received_parts = (key, bytearray())
+        return self._received_parts[1]
 
     def _on_entry_part_reply(self, reply, now):
         progress = self.progress.get(reply.sender)
@@ -101,12 +104,12 @@
         transfer = progress.entry
         if transfer is None or transfer.key != (reply.index, reply.entry_term):
             return
-        if transfer.note_held(reply.offset, 2 * self.timing.heartbeat, now):
+        if transfer.record_received(reply.offset, 2 * self.timing.heartbeat, now):
             self._send_append(reply.sender, now)
 
 
-def _whole(part, command) -> AppendRequest:
-    """Return the request that would have brought the whole entry."""
+def _to_append_request(part, command) -> AppendRequest:
+    """Return the request that carries the entry as one message."""
     entry = LogEntry(index=part.index, term=part.entry_term, kind=part.kind, command=command)
     return AppendRequest(
         group=part.group,
--- a/traystall/consensus/log.py
+++ b/traystall/consensus/log.py
@@ -4,14 +4,14 @@
 
 
 class ReplicaLog:
-    """Hold entries after a snapshot and answer questions of index and term."""
+    """Hold the entries after a snapshot, and look them up by index."""
 
     def __init__(self, snapshot: Snapshot | None = None, entries=()):
         self.snapshot = snapshot
         self._entries = list(entries)
         self._member_changes: list[tuple[int, tuple[MemberRecord, ...]]] = []
         for entry in self._entries:
-            self._note_members(entry)
+            self._record_members(entry)
 
     @property
     def snapshot_index(self) -> int:
@@ -42,14 +42,14 @@
 
     def members_at(self, index: int) -> tuple[MemberRecord, ...]:
         """Return the members in force at `index`."""
-        found = self.snapshot.members if self.snapshot else ()
+        in_force = self.snapshot.members if self.snapshot else ()
         for changed_at, members in self._member_changes:
             if changed_at <= index:
-                found = members
-        return found
+                in_force = members
+        return in_force
 
     def term_at(self, index: int) -> int:
-        """Return the term of the entry at `index`, or -1 if this log does not know it."""
+        """Return the term of the entry at `index`, or -1 if this log does not contain it."""
         if index == 0:
             return 0
         if index == self.snapshot_index:
@@ -60,7 +60,7 @@
         return -1
 
     def slice(self, first: int, max_entries: int, max_bytes: int) -> list:
-        """Return entries from `first` on, at least one if any, within the two bounds."""
+        """Return entries from `first` on within both limits, but at least one if there is any."""
         start = first - self.snapshot_index - 1
         chosen = []
         size = 0
@@ -80,7 +80,7 @@
         """Append one entry; its index must be the next one."""
         assert entry.index == self.last_index + 1
         self._entries.append(entry)
-        self._note_members(entry)
+        self._record_members(entry)
 
     def truncate_from(self, index: int) -> None:
         """Drop the entries from `index` on."""
@@ -89,7 +89,7 @@
             self._member_changes.pop()
 
     def first_index_of_term_at(self, index: int) -> int:
-        """Return the first index held that has the same term as the entry at `index`."""
+        """Return the first index after the snapshot with the same term as the entry at `index`."""
         term = self.term_at(index)
         while index - 1 > self.snapshot_index and self.term_at(index - 1) == term:
             index -= 1
@@ -110,6 +110,6 @@
         self._entries = []
         self._member_changes = []
 
-    def _note_members(self, entry):
+    def _record_members(self, entry):
         if entry.kind == EntryKind.MEMBERS:
             self._member_changes.append((entry.index, decode_members(entry.command)))
--- a/traystall/consensus/models.py
+++ b/traystall/consensus/models.py
@@ -1,7 +1,6 @@
-"""Typed records of the replicated log: members, snapshots, durable writes, outputs.
+"""Types of the replicated log: members, snapshots, durable writes and a replica's outputs.
 
-Wire messages and log entries are the generated thrift classes; what never
-leaves the process is declared here.
+Wire messages and log entries are generated thrift classes and not declared here.
 """
 
 from enum import IntEnum, StrEnum
@@ -12,7 +11,7 @@
 
 
 class EntryKind(IntEnum):
-    """Say what a log entry carries."""
+    """Name the content type of a log entry."""
 
     NOOP = 0
     COMMAND = 1
@@ -20,7 +19,7 @@
 
 
 class Role(StrEnum):
-    """Name the part that a replica plays in its term."""
+    """Name the role of a replica in its term."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
@@ -29,22 +28,22 @@
 
 
 class Timing(msgspec.Struct, frozen=True):
-    """Hold the protocol's times in seconds on the monotonic clock."""
+    """Hold the protocol's timeouts and intervals in seconds."""
 
     election_min: float = 1.0
     election_max: float = 2.0
     heartbeat: float = 0.2
-    # Fraction by which clocks of two instances may drift apart during one lease.
+    # Fraction by which the clocks of two instances may drift apart during a lease.
     drift: float = 0.1
 
     @property
     def lease(self) -> float:
-        """Return how long an acknowledged heartbeat keeps the leader's lease."""
+        """Return for how many seconds an acknowledged heartbeat extends the leader's lease."""
         return self.election_min * (1 - self.drift)
 
 
 class MemberRecord(msgspec.Struct, frozen=True):
-    """Describe one replica of the group; identity is instance and disk incarnation."""
+    """Describe one replica of the group; its identity is its instance and disk incarnation."""
 
     identity: str
     address: str
@@ -53,14 +52,14 @@
 
 
 class HardState(msgspec.Struct, frozen=True):
-    """Hold what must be synced before any message that depends on it."""
+    """Hold the term and vote, which are synced before any message that depends on them is sent."""
 
     term: int = 0
     vote: str = ""
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """Hold the state after `index`, and the members in force there."""
+    """Hold the state after the entry `index`, and the members in force there."""
 
     index: int
     term: int
@@ -94,7 +93,7 @@
 
 
 class Ready(msgspec.Struct):
-    """Collect what the driver must do, in this order: see `take_ready`."""
+    """Collect the outputs of a replica for its driver; see `Replica.take_ready` for the order."""
 
     messages: list = msgspec.field(default_factory=list)
     writes: list = msgspec.field(default_factory=list)
@@ -113,7 +112,7 @@
 
 
 def encode_members(members) -> bytes:
-    """Return the log form of a collection of member records."""
+    """Return member records as encoded in a log entry or snapshot chunk."""
     return pack(sorted(members, key=lambda member: member.identity))
 
 
--- a/traystall/consensus/replica.py
+++ b/traystall/consensus/replica.py
@@ -1,15 +1,16 @@
-"""One replica of the log, as a pure state machine of Raft's family.
-
-Messages, ticks and proposals go in; `take_ready` hands out what to send, write
-and apply. The replica does no I/O and reads no clock: `now` is monotonic
-seconds and `random` is passed in, so a test drives the code that the daemon
-drives.
-
-Two rules go beyond the textbook. A replica grants no vote in the first
-election time-out after it last spoke in an earlier life, because it may have
-promised a leader silence: without that the lease would not hold. And every
-message names the identity it is meant for, so that a wiped disk, which has a
-new identity, can never answer for the old one.
+"""One replica of the replicated log: a Raft variant as a pure state machine.
+
+Messages, ticks and proposals are the inputs; `take_ready` returns the messages to send, the writes
+to store and the entries to apply. The replica does no I/O and reads no clock: `now` is in monotonic
+seconds and `random` is passed in, so tests drive the same code as the daemon.
+
+Two rules go beyond standard Raft:
+
+- A replica grants no vote during the first election timeout after its previous incarnation ended.
+  That incarnation may have acknowledged a heartbeat, and the leader's lease relies on the replica
+  granting no vote for that time.
+- Every message names the identity that it is meant for. A replica whose disk was wiped has a new
+  identity, so it can't answer for the old one.
 """
 
 from traystall.consensus.elections import Elections
@@ -44,15 +45,16 @@
     VoteRequest,
 )
 
-# A learner this close to the commit index counts as caught up.
-CAUGHT_UP_ENTRIES = 64
+# A peer counts as caught up if its log is at most this many entries behind the commit index.
+MAX_CAUGHT_UP_LAG_ENTRIES = 64
 _MAX_ROUNDS_KEPT = 64
-# A replica that starts waits for a leader's word for so many heartbeats at the least.
-_FIRST_HEARTBEATS = 1.5
+# A starting replica waits at least this many heartbeat intervals for a leader before it stands for
+# election.
+_MIN_FIRST_ELECTION_HEARTBEATS = 1.5
 
 
 class Replica(Elections, Replication, EntryTransfer, SnapshotTransfer):
-    """Take part in one group under one identity."""
+    """Run one member of a group under one identity."""
 
     def __init__(
         self,
@@ -63,11 +65,12 @@
         now: float,
         hard_state: HardState | None = None,
         log: ReplicaLog | None = None,
-        silent_since: float | None = None,
+        previous_ended_at: float | None = None,
     ):
-        """Begin a life of a replica at `now`.
+        """Start an incarnation of a replica at `now`.
 
-        `silent_since` is when its earlier life had surely ended; None if that is not known.
+        `previous_ended_at` is a time by which the previous incarnation had certainly ended; None
+        if that is not known.
         """
         self.identity = identity
         self.group = group
@@ -83,24 +86,25 @@
         self._ready = Ready()
         self._votes: set[str] = set()
         self._synced_index = self.log.last_index
-        self._heard_from_leader = float("-inf")
-        silent_since = now if silent_since is None else min(now, silent_since)
-        self._may_vote_after = silent_since + timing.election_min
+        self._leader_contact_at = float("-inf")
+        previous_ended_at = now if previous_ended_at is None else min(now, previous_ended_at)
+        self._may_vote_after = previous_ended_at + timing.election_min
         self._heartbeat_due = 0.0
         self._round = 0
         self._round_started: dict[int, float] = {}
         self._handover_to = ""
         self._handover_deadline = 0.0
         self._term_start_index = 0
-        # What is held of a snapshot and of a large entry that are on their way here.
-        self._incoming: tuple[int, bytearray] | None = None
-        self._parts: tuple[tuple, bytearray] | None = None
-        # A leader that lives is heard within some heartbeats; the pre-vote spares it if it is not.
+        # The parts received so far of a snapshot and of a large entry.
+        self._received_snapshot: tuple[int, bytearray] | None = None
+        self._received_parts: tuple[tuple, bytearray] | None = None
+        # The first timeout is short: a live leader is heard from within a few heartbeats, and if
+        # its heartbeats are late, the pre-vote keeps this replica from deposing it.
         self._election_due = now + random.uniform(
-            _FIRST_HEARTBEATS * timing.heartbeat, timing.election_min
+            _MIN_FIRST_ELECTION_HEARTBEATS * timing.heartbeat, timing.election_min
         )
 
-    # ---- questions ----
+    # ---- queries ----
 
     @property
     def term(self) -> int:
@@ -114,47 +118,47 @@
 
     @property
     def committed_members(self):
-        """Return the newest members that a majority holds.
+        """Return the newest committed members.
 
-        A newer change may still be undone by an election, and until it is committed a loss that
-        it would bear can stop the group.
+        An election may still undo a newer change. Until that change is committed, the loss of a
+        member that the new group could tolerate may stop the group.
         """
         return self.log.members_at(self.commit_index)
 
     @property
     def voters(self) -> set[str]:
-        """Return the identities that vote by the newest members, committed or not."""
+        """Return the identities of the voters among the newest members, committed or not."""
         return {member.identity for member in self.members if member.voter}
 
     @property
     def is_leader(self) -> bool:
-        """Return whether this replica leads its term."""
+        """Return whether this replica is the leader of its term."""
         return self.role is Role.LEADER
 
     def lease_until(self) -> float:
         """Return when the leader's lease ends, in monotonic seconds; minus infinity for none."""
         if not self.is_leader or self._handover_to:
             return float("-inf")
-        return self._majority_heard_at() + self.timing.lease
+        return self._majority_contact_at() + self.timing.lease
 
     def holds_lease(self, now: float) -> bool:
-        """Return whether no other replica can lead at `now`, and this one's state is whole."""
+        """Return whether no other replica can lead at `now` and this one's state is complete."""
         committed_own = self.commit_index >= self._term_start_index
         return committed_own and now < self.lease_until()
 
     def caught_up(self, identity: str) -> bool:
-        """Return whether a peer holds the log up to nearly the commit index."""
+        """Return whether a peer's log reaches, or almost reaches, the commit index."""
         progress = self.progress.get(identity)
         if progress is None:
             return identity == self.identity and self.is_leader
-        return progress.match_index >= self.commit_index - CAUGHT_UP_ENTRIES
+        return progress.match_index >= self.commit_index - MAX_CAUGHT_UP_LAG_ENTRIES
 
     def take_ready(self) -> Ready:
         """Return and clear the outputs.
 
-        The driver sends `messages` at once, makes `writes` durable, sends
-        `messages_after_sync`, reports `synced`, and in any order to that
-        restores `restore` and applies `committed`.
+        The driver sends `messages` at once, makes `writes` durable, then sends
+        `messages_after_sync` and reports the sync to this replica. Independently of these steps it
+        restores the snapshot `restore` and applies the entries `committed`, in this order.
         """
         ready = self._ready
         self._ready = Ready()
@@ -166,14 +170,14 @@
     # ---- inputs ----
 
     def tick(self, now: float) -> None:
-        """Act on whatever time has brought due."""
+        """Send heartbeats, step down or start an election if one of these is due."""
         if self.is_leader:
             self._tick_leader(now)
         elif now >= self._election_due and self.identity in self.voters:
             self._start_pre_vote(now)
 
     def receive(self, message, now: float) -> None:
-        """Handle one message from a peer; ignore it if it is meant for another identity."""
+        """Handle one message from a peer; ignore it if it names another group or identity."""
         if message.group != self.group or message.to != self.identity:
             return
         if isinstance(message, VoteRequest):
@@ -187,9 +191,9 @@
         self._dispatch(message, now)
 
     def propose(self, commands: list[bytes], now: float) -> list[int]:
-        """Append commands and return their indexes; raise NotLeader elsewhere.
+        """Append commands and return their indexes; raise NotLeader if this is not the leader.
 
-        Commands proposed together travel in one message to each peer.
+        Commands proposed together are sent to each peer in one message.
         """
         self._require_leader()
         first = self.log.last_index + 1
@@ -197,7 +201,7 @@
         return list(range(first, first + len(commands)))
 
     def propose_members(self, members, now: float) -> int:
-        """Append a change of members that differs by one voter at most; return its index."""
+        """Append a membership change of at most one voter; return the index of its entry."""
         self._require_leader()
         if self.log.members_index > self.commit_index:
             raise ChangeInProgress("Another change of members is not yet committed.")
@@ -210,14 +214,14 @@
         return self.log.last_index
 
     def found_group(self, members, term: int, now: float) -> None:
-        """Write the first entry of a new group; only for a replica with an empty log.
+        """Write the first entry of a new group; only a replica with an empty log may do this.
 
-        `term` must be above every initial member's: an earlier founder that lost
-        its disk may have left votes, and its messages may still be on their way.
+        `term` must be higher than that of every initial member. A member that bootstrapped the
+        group before and lost its disk may have left votes, and its messages may be in flight.
         """
         if self.log.last_index or term <= self.term:
             raise ConsensusError(
-                "Only a replica with an empty log can found a group, in a new term."
+                "Only a replica with an empty log can bootstrap a group, in a new term."
             )
         self._set_hard_state(HardState(term=term))
         command = encode_members(members)
@@ -226,7 +230,7 @@
         self._election_due = now
 
     def hand_over(self, identity: str, now: float) -> None:
-        """Give up the lease and let `identity` stand for election as soon as it is caught up."""
+        """Transfer leadership: give up the lease, and let `identity` stand once it is caught up."""
         self._require_leader()
         if identity == self.identity or identity not in self.voters:
             raise ConsensusError(f"'{identity}' is not another voter of this group.")
@@ -280,11 +284,11 @@
         self._append([(EntryKind.NOOP, b"")], now)
 
     def _tick_leader(self, now):
-        if now > self._quorum_contact() + self.timing.election_max:
+        if now > self._quorum_contact_at() + self.timing.election_max:
             self._become_follower(self.term, "", now)
             return
         if self._handover_to and now > self._handover_deadline:
-            # The named replica may yet win: this one must not act as leader in doubt.
+            # The successor may still win its election, so this replica must not lead on.
             self._become_follower(self.term, "", now)
             return
         if now >= self._heartbeat_due:
@@ -292,24 +296,24 @@
             for peer in self.progress:
                 self._send_append(peer, now, heartbeat=True)
 
-    def _quorum_contact(self):
-        return max(self._majority_heard_at(), self._elected_at)
+    def _quorum_contact_at(self):
+        return max(self._majority_contact_at(), self._elected_at)
 
-    def _majority_heard_at(self):
-        heard = [
-            float("inf") if voter == self.identity else self._heard_at(voter)
+    def _majority_contact_at(self):
+        contact_times = [
+            float("inf") if voter == self.identity else self._last_contact_at(voter)
             for voter in self.voters
         ]
-        reached = reached_by_majority(heard)
+        reached = reached_by_majority(contact_times)
         if reached == float("inf"):
             return self._round_started.get(self._round, float("-inf"))
         return reached
 
-    def heard_at(self, identity: str) -> float:
-        """Return when the round began that a peer answered last; minus infinity for never."""
-        return self._heard_at(identity)
+    def last_contact_at(self, identity: str) -> float:
+        """Return when the newest round that a peer answered began; minus infinity if none."""
+        return self._last_contact_at(identity)
 
-    def _heard_at(self, voter):
+    def _last_contact_at(self, voter):
         progress = self.progress.get(voter)
         return progress.acked_round_at if progress else float("-inf")
 
@@ -339,7 +343,7 @@
         }
         handlers[type(message)](message, now)
 
-    def _leave_if_removed(self):
+    def _step_down_if_removed(self):
         committed = self.log.members_index <= self.commit_index
         if committed and self.identity not in self.voters:
             self.role = Role.FOLLOWER
@@ -349,7 +353,7 @@
     # ---- helpers ----
 
     def _envelope(self, to, term=None):
-        """Return the fields that every message carries."""
+        """Return the fields that all messages have in common."""
         return {
             "group": self.group,
             "to": to,
--- a/traystall/consensus/replication.py
+++ b/traystall/consensus/replication.py
@@ -1,6 +1,6 @@
-"""Replication of the log: entries out to the peers, in from the leader, and what is committed.
+"""Log replication: sending entries to peers, accepting them from the leader, and committing.
 
-A part of `Replica`, which holds the state that these methods read and change.
+This is a mixin of `Replica`, which holds the state that these methods read and change.
 """
 
 from traystall.consensus.entry_parts import PART_BYTES, is_large
@@ -15,7 +15,7 @@
 
 
 class Replication:
-    """Send entries to the peers of a leader, and take them in from one."""
+    """Send entries to followers as the leader, and accept entries as a follower."""
 
     def _append(self, items, now):
         first = self.log.last_index + 1
@@ -37,7 +37,7 @@
             writes.append(AppendLog(list(entries)))
 
     def _sync_progress(self):
-        """Keep one progress record for each other member, learners included."""
+        """Keep one progress record for each other member, including learners."""
         others = {member.identity for member in self.members} - {self.identity}
         for identity in sorted(others - set(self.progress)):
             self.progress[identity] = Progress(next_index=self.log.last_index + 1)
@@ -59,12 +59,12 @@
             self._send_part(peer, large, now)
 
     def _next_entries(self, progress):
-        """Return what may be sent to a peer now: some small entries, or a large one by itself."""
+        """Return the entries that may be sent to a peer now: small ones, or one large entry."""
         if not progress.may_send():
             return []
         entries = self.log.slice(progress.next_index, MAX_APPEND_ENTRIES, MAX_APPEND_BYTES)
-        large = next((place for place, entry in enumerate(entries) if is_large(entry)), None)
-        return entries if large is None else entries[: max(1, large)]
+        first_large = next((i for i, entry in enumerate(entries) if is_large(entry)), None)
+        return entries if first_large is None else entries[: max(1, first_large)]
 
     def _send_entries(self, peer, entries):
         progress = self.progress[peer]
@@ -78,42 +78,42 @@
             round=self._round,
         )
         if entries:
-            progress.note_sent(entries)
+            progress.record_sent(entries)
         self._ready.messages.append(request)
 
     def _on_append_request(self, request, now):
         if request.term < self.term:
             self._reply_append(request, success=False, match=0, hint=self.log.last_index)
             return
-        self._follow(request.sender, now)
-        if not self._fits(request):
-            self._reply_append(request, success=False, match=0, hint=self._hint(request))
+        self._follow_leader(request.sender, now)
+        if not self._matches_log(request):
+            self._reply_append(request, success=False, match=0, hint=self._hint_for(request))
             return
-        self._take_entries(request.entries)
+        self._accept_entries(request.entries)
         match = request.prev_index + len(request.entries)
         self._commit_to(min(request.commit, match))
         self._reply_append(request, success=True, match=match, hint=0)
 
-    def _follow(self, leader, now):
+    def _follow_leader(self, leader, now):
         if self.role is not Role.FOLLOWER or self.leader != leader:
             self._become_follower(self.term, leader, now)
-        self._heard_from_leader = now
+        self._leader_contact_at = now
         self._reset_election_timer(now)
 
-    def _fits(self, request):
+    def _matches_log(self, request):
         if request.prev_index < self.log.snapshot_index:
-            # All up to the snapshot is committed here, so the entries must agree.
+            # All entries up to the snapshot are committed here, so the request's must be the same.
             return request.prev_index + len(request.entries) >= self.log.snapshot_index
         return self.log.term_at(request.prev_index) == request.prev_term
 
-    def _hint(self, request):
+    def _hint_for(self, request):
         if request.prev_index < self.log.snapshot_index:
             return self.log.snapshot_index
         if request.prev_index > self.log.last_index:
             return self.log.last_index
         return self.log.first_index_of_term_at(request.prev_index) - 1
 
-    def _take_entries(self, entries):
+    def _accept_entries(self, entries):
         for position, entry in enumerate(entries):
             if entry.index <= self.log.snapshot_index:
                 continue
@@ -175,19 +175,19 @@
 
     def _advance_commit(self):
         matched = [
-            self._synced_index if voter == self.identity else self._matched(voter)
+            self._synced_index if voter == self.identity else self._match_index_of(voter)
             for voter in self.voters
         ]
         index = reached_by_majority(matched)
         if index > self.commit_index and self.log.term_at(index) == self.term:
             self._commit_to(index)
-            self._leave_if_removed()
+            self._step_down_if_removed()
 
-    def _matched(self, voter):
+    def _match_index_of(self, voter):
         progress = self.progress.get(voter)
         return progress.match_index if progress else 0
 
     def _commit_to(self, index):
         if index > self.commit_index:
             self.commit_index = index
-            self._drop_parts(index)
+            self._discard_parts(index)
--- a/traystall/consensus/snapshots.py
+++ b/traystall/consensus/snapshots.py
@@ -1,18 +1,19 @@
-"""Transfer of snapshots between replicas, a chunk at a time.
+"""Transfer of snapshots between replicas, one chunk at a time.
 
-A part of `Replica`, which holds the state that these methods read and change.
+This is a mixin of `Replica`, which holds the state that these methods read and change.
 """
 
 from traystall.consensus.models import SaveSnapshot, Snapshot, decode_members, encode_members
 from traystall.consensus.transfers import Transfer
 from traystall.rpc.gen.wire.ttypes import SnapshotChunk, SnapshotReply
 
-# Alone on 5 Mbit/s a chunk takes 0.1 s, of which only the first is sent again too early.
+# A chunk takes 0.1 s on an otherwise idle 5 Mbit/s link; there only the first chunk is sent again
+# too early.
 SNAPSHOT_CHUNK_BYTES = 64 * 1024
 
 
 class SnapshotTransfer:
-    """Send a snapshot to a peer that lacks the log's beginning, and take one in."""
+    """Send a snapshot to a peer that lacks compacted entries, and install a received one."""
 
     def _send_snapshot(self, peer, now):
         progress = self.progress[peer]
@@ -20,11 +21,11 @@
         key = (snapshot.index, snapshot.term)
         if progress.snapshot is None or progress.snapshot.key != key:
             progress.snapshot = Transfer(key, wait=2 * self.timing.heartbeat)
-        if progress.snapshot.is_waiting(now):
+        if progress.snapshot.awaits_reply(now):
             return
         offset = progress.snapshot.offset
         end = offset + SNAPSHOT_CHUNK_BYTES
-        progress.snapshot.note_sent(now)
+        progress.snapshot.record_sent(now)
         self._ready.messages.append(
             SnapshotChunk(
                 **self._envelope(peer),
@@ -41,26 +42,30 @@
     def _on_snapshot_chunk(self, chunk, now):
         if chunk.term < self.term:
             return
-        self._follow(chunk.sender, now)
+        self._follow_leader(chunk.sender, now)
         if self.log.term_at(chunk.index) == chunk.index_term:
-            # The log holds this point: entries after it may have been acknowledged, so keep them.
+            # The log contains this entry. Later entries may have been acknowledged, so keep them.
             self._commit_to(chunk.index)
         if chunk.index <= self.commit_index:
             self._reply_snapshot(chunk, offset=0, installed=True)
             return
-        held = self._incoming_for(chunk)
-        if chunk.offset == len(held):
-            held.extend(chunk.data or b"")
+        received = self._snapshot_buffer(chunk)
+        if chunk.offset == len(received):
+            received.extend(chunk.data or b"")
             if chunk.last:
-                self._install(chunk, bytes(held))
+                self._install(chunk, bytes(received))
                 self._reply_snapshot(chunk, offset=0, installed=True)
                 return
-        self._reply_snapshot(chunk, offset=len(held), installed=False)
+        self._reply_snapshot(chunk, offset=len(received), installed=False)
 
-    def _incoming_for(self, chunk):
-        if self._incoming is None or self._incoming[0] != chunk.index or chunk.offset == 0:
-            self._incoming = (chunk.index, bytearray())
-        return self._incoming[1]
+    def _snapshot_buffer(self, chunk):
+        if (
+            self._received_snapshot is None
+            or self._received_snapshot[0] != chunk.index
+            or chunk.offset == 0
+        ):
+            self._received_snapshot = (chunk.index, bytearray())
+        return self._received_snapshot[1]
 
     def _install(self, chunk, data):
         snapshot = Snapshot(
@@ -69,7 +74,7 @@
             members=decode_members(chunk.members),
             data=data,
         )
-        self._incoming = None
+        self._received_snapshot = None
         self.log.reset(snapshot)
         self._synced_index = snapshot.index
         self.commit_index = snapshot.index
@@ -101,5 +106,5 @@
         transfer = progress.snapshot
         if transfer is None or not reply.index == transfer.key[0] == self.log.snapshot_index:
             return
-        if transfer.note_held(reply.offset, 2 * self.timing.heartbeat, now):
+        if transfer.record_received(reply.offset, 2 * self.timing.heartbeat, now):
             self._send_snapshot(reply.sender, now)
--- a/traystall/consensus/transfers.py
+++ b/traystall/consensus/transfers.py
@@ -1,49 +1,50 @@
-"""A transfer to one peer in chunks, one on the way at a time: what is sent, and when again."""
+"""A chunked transfer to one peer, with one chunk in flight at a time and a retry timeout."""
 
 import msgspec
 
-# The longest wait for the reply to a chunk, in seconds; after that it is sent again. Enough for
-# links of 0.5 Mbit/s; more would keep a replica waiting that comes back from a cut.
-LONGEST_WAIT = 1.0
+# The longest wait for the reply to a chunk before it is sent again. 1 s is enough for links of
+# 0.5 Mbit/s; a longer wait would delay a replica that reconnects after a network partition.
+MAX_REPLY_WAIT_SECONDS = 1.0
 
 
 class Transfer(msgspec.Struct):
-    """Follow one transfer; `key` names its content, times are monotonic seconds."""
+    """Track one transfer; `key` identifies its content, times are in monotonic seconds."""
 
     key: tuple
-    # How many bytes the peer holds.
+    # How many bytes the peer has acknowledged.
     offset: int = 0
     sent_at: float = float("-inf")
-    # How long the reply to a chunk is waited for, and whether this chunk was sent again.
+    # Timeout for the reply to a chunk in seconds, and whether this chunk was sent more than once.
     wait: float = 0.0
     resent: bool = False
 
-    def is_waiting(self, now: float) -> bool:
-        """Return whether the reply to the last chunk may still be on its way."""
+    def awaits_reply(self, now: float) -> bool:
+        """Return whether the reply to the last chunk may still arrive in time."""
         return now < self.sent_at + self.wait
 
-    def note_sent(self, now: float) -> None:
+    def record_sent(self, now: float) -> None:
         """Record that the chunk at `offset` is sent, for the first time or again.
 
-        Sent again each heartbeat, a chunk that takes longer on its link fills it with copies:
-        at 5 Mbit/s 1,237 chunks were sent for 40.
+        The timeout doubles with each resend. A chunk that is sent again at each heartbeat fills a
+        slow link with copies: at 5 Mbit/s, 1,237 chunks were sent to transfer 40.
         """
         if self.sent_at != float("-inf"):
             self.resent = True
-            self.wait = min(LONGEST_WAIT, 2 * self.wait)
+            self.wait = min(MAX_REPLY_WAIT_SECONDS, 2 * self.wait)
         self.sent_at = now
 
-    def note_held(self, offset: int, shortest_wait: float, now: float) -> bool:
-        """Record what the peer holds; return whether that is news, so that the next chunk is due.
+    def record_received(self, offset: int, min_wait: float, now: float) -> bool:
+        """Record the peer's offset; return whether it changed, so that the next chunk is due.
 
-        A reply that comes twice brings nothing new. Answered by a chunk each time, every resend
-        started one more transfer: 356 chunks were sent for 40.
+        A duplicate reply returns False. If each one triggered a chunk, every resend would start a
+        parallel transfer: 356 chunks were sent to transfer 40.
         """
         if offset == self.offset:
             return False
         if not self.resent:
-            # Twice as long as this reply took, unless it may be one to an earlier sending.
-            self.wait = max(shortest_wait, 2 * (now - self.sent_at))
+            # Twice this round trip. The reply to a chunk that was resent may belong to any of its
+            # copies, so that round trip is not used.
+            self.wait = max(min_wait, 2 * (now - self.sent_at))
         self.resent = False
         self.offset = offset
         self.sent_at = float("-inf")
--- a/traystall/control/daemon.py
+++ b/traystall/control/daemon.py
@@ -1,4 +1,4 @@
-"""The `traystall-control` program: one replica of the log and what hangs on it."""
+"""The `traystall-control` program: one replica of the log and the services that depend on it."""
 
 import asyncio
 import contextlib
@@ -15,16 +15,16 @@
 from traystall.control.evacuation import EvacuationOrders
 from traystall.control.exceptions import ControlError
 from traystall.control.formation import InitialMember, form_group
-from traystall.control.leader import LeaderCalls
+from traystall.control.leader import LeaderClient
 from traystall.control.members import MemberChanges
 from traystall.control.node import DISK_RETRY_SECONDS, Node
-from traystall.control.orders import Orderer
+from traystall.control.orders import OrderSender
 from traystall.control.repair import GroupRepair
 from traystall.control.service import ControlService
 from traystall.control.settings import SETTINGS, check_control
 from traystall.control.state import StateMachine
 from traystall.control.subscribers import Subscribers
-from traystall.control.suspects import SuspectCalls
+from traystall.control.suspects import SuspectService
 from traystall.control.targets_api import add_target_calls
 from traystall.core import clock, daemon, logs, startup
 from traystall.core.exceptions import ConsensusError, DiskFailed, RpcError
@@ -50,27 +50,27 @@
 
 GROUP = "main"
 ROLE = "control"
-# A number above all that are given: its holder wants none.
-_ANY_NUMBER = 2**62
-# How long answers may take to leave the process at its end, in seconds.
+# Higher than any revision number or version in use; a follower that reports it receives no updates.
+_MAX_NUMBER = 2**62
+# How long open HTTP responses may take to finish at shutdown.
 _CLOSE_SECONDS = 0.2
 
 logger = logging.getLogger(__name__)
 
 
 class ControlDaemon(aiomisc.Service):
-    """Wire the parts of a control daemon together."""
+    """Connect the components of a control daemon."""
 
     def __init__(self, settings: Settings):
         super().__init__()
         self._settings = settings
         self._address = settings.rpc_advertise or settings.rpc_listen
         self.node: Node | None = None
-        # Control daemons to ask for admission; may change while the daemon runs.
+        # Control daemons to ask for admission; `reload` may change the list.
         self.join_addresses: list[str] = list(settings.join)
 
     async def start(self) -> None:
-        """Open the data folder, join the group and begin to serve."""
+        """Open the data folder, join the group and start to serve."""
         settings = self._settings
         folder = DataFolder(settings.data_folder)
         recovered = await self._open_folder(folder)
@@ -81,7 +81,7 @@
         self._members = MemberChanges(self.node)
         permits = Permits(identity, subscribers.rows, random.Random())
         permits.links = self._links
-        self._orderer = Orderer(self.node, permits)
+        self._order_sender = OrderSender(self.node, permits)
         self.service = ControlService(
             self.node,
             subscribers,
@@ -90,13 +90,13 @@
             settings.operator_token,
             NumberRule(settings.number_rule),
         )
-        suspects = SuspectCalls(self.node, settings.operator_token)
+        suspects = SuspectService(self.node, settings.operator_token)
         self.service.add_handler(ReportRunsRequest, suspects.report)
         self.service.add_handler(TrialRequest, suspects.begin_trial)
         self.service.add_handler(LiftRequest, suspects.lift)
-        self.leader = LeaderCalls(self.node, self.service, self._links)
+        self.leader = LeaderClient(self.node, self.service, self._links)
         self._start_registry(identity)
-        await self._memory.restore()
+        await self._registry_persistence.restore()
         repair = self._make_repair(identity)
         self._server = RpcServer(
             settings.rpc_listen, settings.cluster, settings.secret, self.service.handle
@@ -105,36 +105,36 @@
         self.node.start()
         await self._start_http()
         self._background = daemon.Background()
-        self._background.start(self._form())
-        self._background.start(subscribers.share_forever())
-        self._background.start(self._orderer.run_forever())
+        self._background.start(self._form_group())
+        self._background.start(subscribers.share_directory_forever())
+        self._background.start(self._order_sender.run_forever())
         self._background.start(self._registry_follower.follow_forever())
-        self._background.start(self._memory.save_forever())
+        self._background.start(self._registry_persistence.save_forever())
         self._background.start(self._reload_forever())
         if repair is not None:
-            self._background.start(repair.lead_forever())
-            self._background.start(repair.ask_forever())
+            self._background.start(repair.review_forever())
+            self._background.start(repair.request_join_forever())
         seconds = round(clock.monotonic() - startup.STARTED_AT, 3)
         logger.info("started", extra={"identity": identity, "seconds": seconds})
 
     async def until_stopped(self, stopping: asyncio.Event) -> None:
-        """Return on a signal, after handing leadership over; raise if the disk fails."""
+        """Return on a signal, after a transfer of leadership; raise if a background task fails."""
         await daemon.first_of(stopping, self.node.failed, self._background.failed)
         if self.node.replica.is_leader:
             with contextlib.suppress(ControlError, ConsensusError, RpcError):
                 await self._members.hand_over()
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """End serving and close the data folder."""
+        """Stop serving and close the data folder."""
         self._background.stop()
-        await self._orderer.close()
+        await self._order_sender.close()
         await self._server.stop()
         await self.node.stop()
         await self._links.close()
         await self._http.close(_CLOSE_SECONDS)
 
     def reload(self) -> None:
-        """Read the settings again where they can change while the daemon runs; by default none."""
+        """Reload the settings that can change at run time; subclasses may override this."""
 
     async def _reload_forever(self):
         while True:
@@ -142,7 +142,7 @@
             self.reload()
 
     async def _open_folder(self, folder):
-        """Open the data folder; a disk that refuses is asked again, damage ends the daemon."""
+        """Open the data folder; retry if the disk fails, but let damage end the daemon."""
         settings = self._settings
         loop = asyncio.get_running_loop()
         while True:
@@ -155,7 +155,7 @@
                 await asyncio.sleep(DISK_RETRY_SECONDS)
 
     def control_addresses(self) -> list[str]:
-        """Return the other control daemons that this one knows of."""
+        """Return the addresses of the other control daemons known to this one."""
         members = {member.address for member in self.node.replica.members}
         known = members | set(self.join_addresses)
         return sorted(known - {self._address})
@@ -163,8 +163,8 @@
     def _known_data_centres(self, subscribers) -> set[str]:
         """Return the data centres that an order may name.
 
-        Where the settings don't list them, the own one and those in which members, gateways and
-        targets are seen; one that is already evacuated is known in any case.
+        If the settings don't list them, these are this daemon's own data centre, those of known
+        members, gateways and targets, and those that are already evacuated.
         """
         if self._settings.data_centres:
             return set(self._settings.data_centres)
@@ -186,11 +186,13 @@
         self.service.add_handler(RegistryRequest, self.registry.watch)
         follower = RegistryFollower(self._links, identity, self.control_addresses)
         follower.merge = self._merge_report
-        # Revisions and evacuations come by the log; only what targets tell is of interest here.
-        follower.number = follower.evacuation_version = lambda: _ANY_NUMBER
+        # Revisions and evacuations arrive through the log; only target reports are needed here.
+        follower.number = follower.evacuation_version = lambda: _MAX_NUMBER
         follower.record_seen = self.registry.registry.record_seen
         self._registry_follower = follower
-        self._memory = RegistryPersistence(self.registry, TargetStore(self._settings.data_folder))
+        self._registry_persistence = RegistryPersistence(
+            self.registry, TargetStore(self._settings.data_folder)
+        )
 
     def _merge_report(self, report, seen_at):
         if self.registry.registry.merge(report, seen_at):
@@ -216,7 +218,7 @@
             now=clock.monotonic(),
             hard_state=recovered.hard_state,
             log=recovered.log,
-            silent_since=startup.STARTED_AT if settings.exclusive_start else None,
+            previous_ended_at=startup.STARTED_AT if settings.exclusive_start else None,
         )
         return Node(
             replica,
@@ -228,14 +230,14 @@
             snapshot_every=settings.snapshot_every,
         )
 
-    async def _form(self):
+    async def _form_group(self):
         settings = self._settings
         initial = [
             InitialMember(name, address, settings.initial_places.get(name, ""))
             for name, address in settings.initial_members.items()
         ]
         if not initial:
-            return  # This daemon joins a group that exists.
+            return  # This daemon joins an existing group.
         await form_group(self.node, settings.instance, initial, self._links)
 
     async def _start_http(self):
@@ -247,7 +249,7 @@
 
 
 def main() -> None:
-    """Run the daemon; exit with 2 on bad settings and 3 on a failed disk."""
+    """Run the daemon; exit with status 2 on invalid settings and 3 on a failed disk."""
     settings = load_or_exit("traystall-control", SETTINGS, [check_control])
     logs.configure(settings.log_level, settings.instance, settings.data_centre)
     service = ControlDaemon(settings)
--- a/traystall/control/repair.py
+++ b/traystall/control/repair.py
@@ -1,7 +1,7 @@
-"""Keep the control group whole: let newcomers in, take lost members out, ask to join.
+"""Automatic repair of the control group: admit newcomers, remove lost members, request to join.
 
-The leader decides with `traystall.systems.repair`; every daemon that is no voter,
-or that hears no leader, asks the others to be let in.
+The leader decides on changes with `traystall.systems.repair`. A daemon that is not a voter, or that
+hears from no leader, asks the others for admission.
 """
 
 import asyncio
@@ -19,20 +19,20 @@
 from traystall.rpc.records import to_wire_member
 from traystall.systems.repair import SILENT_SECONDS, GroupView, next_members
 
-_REVIEW_SECONDS = 0.1
-_ASK_SECONDS = 0.3
-_ASK_TIMEOUT = 0.5
-_CHANGE_TIMEOUT = 3.0
-# A request to join is remembered this long; the newcomer repeats it until it votes.
-_JOIN_SECONDS = 2.0
+_REVIEW_INTERVAL_SECONDS = 0.1
+_JOIN_INTERVAL_SECONDS = 0.3
+_JOIN_TIMEOUT_SECONDS = 0.5
+_CHANGE_TIMEOUT_SECONDS = 3.0
+# How long a request to join stays valid; the newcomer repeats it until it is a voter.
+_JOIN_REQUEST_LIFETIME_SECONDS = 2.0
 
 logger = logging.getLogger(__name__)
 
 
 class GroupRepair:
-    """Mend the group from the leader's side and ask for admission from a newcomer's.
+    """Repair the group as the leader, and request admission as a newcomer.
 
-    `addresses` returns control daemons to ask besides the members in the own log.
+    `addresses` returns control daemons to ask in addition to the members in this daemon's log.
     """
 
     def __init__(self, node: Node, links: LinkPool, own: MemberRecord, addresses):
@@ -44,7 +44,7 @@
         self._leading_since: float | None = None
 
     async def join(self, request: ttypes.JoinRequest) -> ttypes.JoinReply:
-        """Note that a daemon wants to be a member; only a leader takes it in."""
+        """Record a daemon's request to become a member; only the leader accepts it."""
         replica = self._node.replica
         if not replica.is_leader:
             raise RpcRefused("not-leader", self._node.leader_address())
@@ -54,39 +54,42 @@
             outcome="noted", members=[to_wire_member(m) for m in replica.members]
         )
 
-    async def lead_forever(self) -> None:
-        """Carry out one change after the other while this replica leads."""
+    async def review_forever(self) -> None:
+        """Carry out one membership change after the other while this replica is the leader."""
         while True:
-            await asyncio.sleep(_REVIEW_SECONDS)
+            await asyncio.sleep(_REVIEW_INTERVAL_SECONDS)
             try:
                 await self._review()
             except (ConsensusError, ControlError) as error:
-                # Both bases: an election may replace the change at any step of it, and without
-                # this loop the daemon ends when the group has just lost another member.
+                # An election may replace the change at any step, with an error of either base
+                # class. If this loop ended, so would the daemon, just after the group lost another
+                # member.
                 logger.info("members not changed", extra={"why": str(error)})
 
-    async def ask_forever(self) -> None:
-        """Ask to be let in whenever this replica is no voter of a working group."""
+    async def request_join_forever(self) -> None:
+        """Request admission whenever this replica is not a voter of a working group."""
         while True:
-            await asyncio.sleep(_ASK_SECONDS)
-            if self._is_settled():
+            await asyncio.sleep(_JOIN_INTERVAL_SECONDS)
+            if self._is_voting_member():
                 continue
             request = ttypes.JoinRequest(member=to_wire_member(self._own))
-            await asyncio.gather(*(self._ask(address, request) for address in self._known()))
+            await asyncio.gather(
+                *(self._request_join(address, request) for address in self._known_addresses())
+            )
 
-    def _is_settled(self):
+    def _is_voting_member(self):
         replica = self._node.replica
         return replica.identity in replica.voters and self._node.is_fresh()
 
-    def _known(self):
+    def _known_addresses(self):
         members = {member.address for member in self._node.replica.members}
         return sorted((members | set(self._addresses())) - {self._own.address})
 
-    async def _ask(self, address, request):
+    async def _request_join(self, address, request):
         try:
-            await self._links.link(address).call(request, _ASK_TIMEOUT)
+            await self._links.link(address).call(request, _JOIN_TIMEOUT_SECONDS)
         except RpcError as error:
-            logger.debug("not let in", extra={"peer": address, "why": str(error)})
+            logger.debug("join request failed", extra={"peer": address, "why": str(error)})
 
     async def _review(self):
         replica = self._node.replica
@@ -96,18 +99,18 @@
             return
         if self._leading_since is None:
             self._leading_since = now
-        members = next_members(self._view(now))
+        members = next_members(self._group_view(now))
         if members is None:
             return
-        await self._node.change_members(members, _CHANGE_TIMEOUT)
+        await self._node.change_members(members, _CHANGE_TIMEOUT_SECONDS)
         decision("members", voters=[m.identity for m in members if m.voter], count=len(members))
 
-    def _view(self, now):
+    def _group_view(self, now):
         replica = self._node.replica
         self._joining = {
             identity: (record, at)
             for identity, (record, at) in self._joining.items()
-            if now - at < _JOIN_SECONDS
+            if now - at < _JOIN_REQUEST_LIFETIME_SECONDS
         }
         others = [m.identity for m in replica.members if m.identity != replica.identity]
         silent = {identity for identity in others if self._is_silent(identity, now)}
@@ -121,9 +124,11 @@
         )
 
     def _is_silent(self, identity, now):
-        """Return whether a member has been silent for long, also counted from the election."""
-        heard_at = max(self._node.replica.heard_at(identity), self._leading_since or now)
-        return now - heard_at > SILENT_SECONDS
+        """Return whether a member has been silent too long since its last reply or the election."""
+        last_contact_at = max(
+            self._node.replica.last_contact_at(identity), self._leading_since or now
+        )
+        return now - last_contact_at > SILENT_SECONDS
 
     def _has_caught_up(self, identity):
         progress = self._node.replica.progress.get(identity)
