--- a/tests/control/test_forwarded_bundle.py
+++ b/tests/control/test_forwarded_bundle.py
@@ -1,7 +1,7 @@
-"""A bundle that takes longer over the link to the leader than a call is sent and appended once.
+"""A bundle whose transfer to the leader takes longer than a call timeout is sent and appended once.
 
-Guards against one that is sent whole again each second behind its own copies: a configuration given
-to a daemon that doesn't lead was never confirmed there.
+Guards against a follower that sends a large bundle to the leader again each second. The copies
+queue on the link, and the configuration is never confirmed.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 
 
 async def started(group, relay):
-    """Start three founders, each behind a relay, and return the one that leads."""
+    """Start three initial members, each behind a relay, and return the leader."""
     for name in "abc":
         group.listening[name] = free_address()
         await relay.add(group.addresses[name], group.listening[name])
@@ -32,15 +32,15 @@
 
 @pytest.mark.parametrize(("kilobytes", "mbit"), [(600, 5), (1200, 10), (1000, 5)])
 def test_bundle_given_to_a_follower_is_sent_and_appended_once(tmp_path, kilobytes, mbit):
-    async def story():
+    async def scenario():
         group, relay = ControlGroup(tmp_path), SlowRelay(mbit * MBIT)
         try:
             leader = await started(group, relay)
             follower = next(name for name, d in group.daemons.items() if d is not leader)
             size = kilobytes * 1000
             entities = {"k": bytes(size)}
-            asked = asyncio.create_task(group.apply_entities(follower, 5, entities, seconds=15.0))
-            reply = await asked
+            pending = asyncio.create_task(group.apply_entities(follower, 5, entities, seconds=15.0))
+            reply = await pending
             assert (reply.outcome, reply.current) == ("accepted", 5)
             assert large_entries(leader, size // 2) == 1
             carried = relay.carried[group.listening[leader.node.replica.identity.split("/")[0]]]
@@ -49,27 +49,27 @@
             await group.stop_all()
             await relay.close()
 
-    asyncio.run(asyncio.wait_for(story(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
-def test_bundle_that_is_sent_again_while_it_is_under_way_is_appended_once(tmp_path):
-    """Operators repeat what is not confirmed in time, at any daemon."""
+def test_bundle_repeated_while_it_is_in_progress_is_appended_once(tmp_path):
+    """Operators repeat requests that are not confirmed in time, at any daemon."""
 
-    async def story():
+    async def scenario():
         group, relay = ControlGroup(tmp_path), SlowRelay(5 * MBIT)
         try:
             leader = await started(group, relay)
             name = leader.node.replica.identity.split("/")[0]
             entities = {"k": bytes(600_000)}
-            asked = [
+            pending = [
                 asyncio.create_task(group.apply_entities(name, 5, entities, seconds=10.0))
                 for _ in range(3)
             ]
-            replies = await asyncio.gather(*asked)
+            replies = await asyncio.gather(*pending)
             assert {(reply.outcome, reply.current) for reply in replies} == {("accepted", 5)}
             assert large_entries(leader, 300_000) == 1
         finally:
             await group.stop_all()
             await relay.close()
 
-    asyncio.run(asyncio.wait_for(story(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
--- a/tests/control/test_malformed_messages.py
+++ b/tests/control/test_malformed_messages.py
@@ -1,7 +1,7 @@
-"""Messages with fields left out or of no use end no daemon, and are refused clearly.
+"""Messages with missing or invalid fields are refused with a clear error and end no daemon.
 
-Guards against one message that ends a loop which all daemons depend on: a gateway's record without
-an identity, or a member without an address, ended every control daemon that was told of it.
+Guards against a message that ends a background loop: a gateway record without an identity or a
+member without an address ended every control daemon that received it.
 """
 
 import asyncio
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from thrift.Thrift import TType
 
-from tests.control.test_self_repair import play
+from tests.control.test_self_repair import run_scenario
 from traystall.catalog.models import ApplyBundle, SupersedeBundle
 from traystall.control.state import StateMachine
 from traystall.core.exceptions import RpcError, RpcRefused
@@ -70,12 +70,12 @@
     return st.builds(kind, **fields)
 
 
-# Whole messages of replicas are left out: who sends them is believed, as the log needs.
+# Messages between replicas are excluded: replicas trust each other, as the protocol requires.
 CALLS = [kind for kind in REQUEST_TYPES.values() if kind not in PEER_MESSAGES]
 
 
 async def call(daemon, message):
-    """Send a message over a link as a peer does; return the code of a refusal, if any."""
+    """Send a message over a link; return the refusal code, the error's name or an empty string."""
     link = Link(daemon._address, LinkIdentity("test", "control", "fuzz"))
     try:
         await link.call(message, _CALL_SECONDS)
@@ -89,7 +89,7 @@
 
 
 async def settle(group):
-    """Return once each loop of all daemons has gone by what it was told."""
+    """Return once every background loop of all daemons has processed the messages."""
     await asyncio.sleep(1.2)
     group.raise_failure()
     await group.until(lambda: group.leader() is not None)
@@ -111,18 +111,18 @@
     ],
     ids=lambda message: repr(message)[:60],
 )
-def test_message_that_lacks_what_it_is_about_is_refused(tmp_path, message):
-    async def story(group):
+def test_message_without_a_required_field_is_refused(tmp_path, message):
+    async def scenario(group):
         await group.until(lambda: group.leader() is not None)
         code = await call(group.leader(), message)
         assert code in ("bad-message", "bad-request")
         await settle(group)
 
-    play(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_link_goes_on_after_a_message_that_can_not_be_read(tmp_path):
-    async def story(group):
+    async def scenario(group):
         await group.until(lambda: group.leader() is not None)
         link = Link(group.leader()._address, LinkIdentity("test", "control", "fuzz"))
         await link.send(AppendRequest(group="main"))
@@ -130,7 +130,7 @@
         assert link._writer is not None
         await link.close()
 
-    play(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 @settings(
@@ -142,7 +142,7 @@
 )
 @given(sent=st.lists(st.one_of([messages(kind) for kind in CALLS]), min_size=60, max_size=60))
 def test_daemons_outlive_any_message(tmp_path_factory, sent):
-    async def story(group):
+    async def scenario(group):
         await group.until(lambda: group.leader() is not None)
         daemons = list(group.daemons.values())
         codes = await asyncio.gather(
@@ -156,7 +156,7 @@
         await asyncio.gather(*(group.start(name) for name in "abc"))
         await group.until(lambda: group.leader() is not None)
 
-    play(tmp_path_factory.mktemp("fuzz"), story)
+    run_scenario(tmp_path_factory.mktemp("fuzz"), scenario)
 
 
 COMMANDS = (
@@ -174,7 +174,7 @@
 
 
 def commands(kind):
-    """Return a strategy for commands; a field holds what it should or anything else."""
+    """Return a strategy for commands whose fields hold a valid or an arbitrary value."""
     fields = {field.name: _field(field.type) for field in msgspec.structs.fields(kind)}
     return st.builds(kind, **fields)
 
@@ -182,15 +182,15 @@
 def _field(kind):
     if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
         return st.one_of(commands(kind), _ANY)
-    # The wire carries no wider integers, and the log can't encode them.
+    # Neither the wire format nor the log encoding supports wider integers.
     proper = st.integers(-(2**63), 2**63 - 1) if kind is int else st.from_type(kind)
     return st.one_of(proper, _ANY)
 
 
 @settings(max_examples=300, derandomize=True, deadline=None)
 @given(st.lists(st.one_of([commands(kind) for kind in COMMANDS]), min_size=1, max_size=4))
-def test_command_that_is_taken_can_be_applied_and_restored(given_commands):
-    """What raises out of the log ends every replica, and again at each start."""
+def test_accepted_command_can_be_applied_and_restored(given_commands):
+    """A command that raises when it is applied would end every replica, at each start again."""
     state = StateMachine()
     for command in given_commands:
         data = pack(command)
--- a/tests/control/test_orders_at_rest.py
+++ b/tests/control/test_orders_at_rest.py
@@ -1,8 +1,9 @@
-"""A target that asks a control daemon for rest gets neither questions nor orders meanwhile.
+"""Backoff and rate limits of targets apply to the queries and orders of a control daemon.
 
-One that names a limit gets what gateways that lend it leave; without any the daemon keeps to it.
+A target that asked for a backoff receives neither until it ends. A target with a limit receives
+what the gateways that grant its permits leave; without gateways the daemon obeys the limit itself.
 
-Nor is one that turns a question away taken to hold nothing: it would be ordered to load all.
+A target that refuses a query must not count as holding no models: it would be ordered to load all.
 """
 
 import asyncio
@@ -11,58 +12,58 @@
 import pytest
 
 from tests.support.raw_target import RawTarget
-from traystall.control.order_client import LIMITED, RESTING, OrderClient
+from traystall.control.order_client import BACKING_OFF, RATE_LIMITED, OrderClient
 from traystall.permits.lenders import LenderRanking
 from traystall.permits.permits import Permits
 from traystall.tables.entities import Target
 
 
-class Busy(RawTarget):
-    """Answer everything with 503 and a rest; count what comes."""
+class BusyTarget(RawTarget):
+    """Answer each request with 503 and Retry-After; count the requests."""
 
-    came = 0
+    request_count = 0
 
     async def _serve_one(self, reader, writer):
         await self._read(reader)
-        self.came += 1
+        self.request_count += 1
         self._write(writer, 503, "", "{}", f"Retry-After: {self.rest}\r\n")
         await writer.drain()
         return False
 
 
-def lone_permits():
+def permits_without_gateways():
     permits = Permits("control-1", list, random.Random(1), LenderRanking("control-1", 0.0))
     permits.refresh_lenders()
     return permits
 
 
-def test_limited_engine_gets_no_more_questions_and_orders_than_it_takes():
-    async def story():
+def test_limited_engine_gets_no_more_requests_than_its_limit():
+    async def scenario():
         engine = await RawTarget().start()
         engine.limit = "2"
         target = Target("e-1", "pool", "engine", "here", engine.address)
-        client = OrderClient(lambda term: True, lone_permits())
+        client = OrderClient(lambda term: True, permits_without_gateways())
         outcomes = []
         for _ in range(40):
             await client.observe(target)
             outcomes.append(await client.send(target, {"term": 1}, 1.0))
             await asyncio.sleep(0.05)
-        assert LIMITED in outcomes
+        assert RATE_LIMITED in outcomes
         assert "200" in outcomes
         assert len(engine.arrivals) <= 2 * 2 + 3
         await client.close()
         await engine.stop()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("first", ["observe", "order"])
-def test_target_gets_its_rest(first):
-    async def story():
-        busy = await Busy().start()
+def test_target_gets_its_backoff_period(first):
+    async def scenario():
+        busy = await BusyTarget().start()
         busy.rest = "0.4"
         target = Target("e-1", "pool", "engine", "here", busy.address)
-        client = OrderClient(lambda term: True, lone_permits())
+        client = OrderClient(lambda term: True, permits_without_gateways())
 
         async def order():
             return await client.send(target, {"term": 1}, 1.0)
@@ -71,12 +72,12 @@
             assert await client.observe(target) is None
         else:
             assert await order() == "503"
-        assert (await client.observe(target), await order()) == (None, RESTING)
-        assert busy.came == 1
+        assert (await client.observe(target), await order()) == (None, BACKING_OFF)
+        assert busy.request_count == 1
         await asyncio.sleep(0.45)
         assert await order() == "503"
-        assert busy.came == 2
+        assert busy.request_count == 2
         await client.close()
         await busy.stop()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/traystall/control/directory.py
+++ b/traystall/control/directory.py
@@ -1,7 +1,7 @@
-"""What a watcher is told of the directory of gateways, and when.
+"""Directory updates for watchers: their content and when they are sent.
 
-A watcher that knows a version of this life of the daemon is told what changed since;
-anyone else, and every gateway that doesn't name a life, gets the whole.
+A watcher that knows a version of this incarnation of the daemon receives the changes since that
+version. All others, and gateways that name no incarnation, receive the whole directory.
 """
 
 from traystall.core.ids import new_id
@@ -9,50 +9,50 @@
 from traystall.rpc.records import to_record
 from traystall.tables.gateways import GatewayTable
 
-# A watch is open this long, in seconds, before news of the directory alone answers it. A restart
-# makes three changes and a failed rack tens: gathered, they cost a reply, not one each. What is
-# decided from the directory bears it: a gateway that leaves also refuses whoever asks it, and
-# one that has just started owns nothing for some seconds.
-GATHER_SECONDS = 0.3
+# A watch stays open for at least this long before directory changes alone answer it. The restart of
+# a gateway makes three changes and the failure of a rack tens of them; batched, they cost one reply
+# instead of one each. Decisions made from the directory tolerate the delay: a gateway that leaves
+# also refuses requests itself, and one that has just started owns nothing for some seconds.
+BATCH_SECONDS = 0.3
 
 
 class DirectoryNews:
-    """Tell watchers of a table; `epoch` names this life of the daemon."""
+    """Add updates of a gateway table to watch replies; `epoch` identifies this incarnation."""
 
     def __init__(self, table: GatewayTable):
         self.epoch = new_id()
         self._table = table
 
-    def is_news(self, request: WatchRequest) -> bool:
-        """Return whether a watcher doesn't know the directory as it is."""
-        return not request.without_directory and self._known(request) != self._table.version
+    def has_changes(self, request: WatchRequest) -> bool:
+        """Return whether the directory has changed since the version that a watcher knows."""
+        return not request.without_directory and self._known_version(request) != self._table.version
 
-    def gathered_at(self, request: WatchRequest, began: float) -> float:
-        """Return when news of the directory alone may answer a watch that began at `began`.
+    def batch_end(self, request: WatchRequest, began: float) -> float:
+        """Return when directory changes alone may answer a watch that began at `began`.
 
-        Who knows nothing yet isn't made to wait.
+        A watcher that knows no version yet is answered at once.
         """
-        return began + GATHER_SECONDS if self._known(request) else began
+        return began + BATCH_SECONDS if self._known_version(request) else began
 
     def tell(self, reply: WatchReply, request: WatchRequest, now: float) -> None:
-        """Put into a reply what its watcher doesn't know of the directory."""
-        if self.is_news(request):
-            # Who fell silent is told as dropped along with the other news, not a second later.
+        """Add the directory, or its changes, to the reply if the watcher's version is outdated."""
+        if self.has_changes(request):
+            # Gateways that timed out are reported as dropped in this reply, not a second later.
             self._table.expire(now)
             reply.directory_epoch = self.epoch
-            if not self._tell_changes(reply, request, now):
+            if not self._add_changes(reply, request, now):
                 reply.directory = [to_record(row, now) for row in self._table.live(now)]
         reply.directory_version = self._table.version
 
-    def _known(self, request):
-        """Return the version that a watcher knows of this table, 0 if none."""
+    def _known_version(self, request):
+        """Return the version of this table that a watcher knows, 0 if none."""
         if not request.directory_epoch:
             return request.directory_version or 0
         return (request.directory_known or 0) if request.directory_epoch == self.epoch else 0
 
-    def _tell_changes(self, reply, request, now):
-        """Return whether the changes alone bring the watcher up to date; put them in if so."""
-        known = self._known(request)
+    def _add_changes(self, reply, request, now):
+        """Add only the changes to the reply if they suffice; return whether they do."""
+        known = self._known_version(request)
         delta = self._table.since(known) if request.directory_epoch else None
         if delta is None:
             return False
--- a/traystall/control/evacuation.py
+++ b/traystall/control/evacuation.py
@@ -1,4 +1,4 @@
-"""Carry out operators' orders to evacuate a data centre or to restore it."""
+"""Carry out operators' orders to evacuate or restore a data centre."""
 
 import logging
 
@@ -11,16 +11,16 @@
 from traystall.evacuations.models import OrderEvacuation
 from traystall.rpc.gen.wire.ttypes import EvacuateReply, EvacuateRequest, EvacuationRecord
 
-# The code by which an order is refused that names no data centre of the cluster.
+# Refusal code of an order that names no data centre of the cluster.
 UNKNOWN_DATA_CENTRE = "unknown-data-centre"
-# How long the members may take to confirm an order, in seconds; as for a configuration.
-_COMMIT_TIMEOUT = 3.0
+# Timeout for the commit of an order; the same as for a configuration.
+_COMMIT_TIMEOUT_SECONDS = 3.0
 
 logger = logging.getLogger(__name__)
 
 
 class EvacuationOrders:
-    """Answer orders at the leader; `known` returns the data centres that an order may name."""
+    """Handle orders on the leader; `known` returns the data centres that an order may name."""
 
     def __init__(self, node: Node, known):
         self._node = node
@@ -29,8 +29,8 @@
     async def order(self, request: EvacuateRequest) -> EvacuateReply:
         """Return once an order is committed; raise RpcRefused for an unknown data centre.
 
-        An order that is carried out already is committed again, too: only so is it certain
-        that no later order of another operator is overtaken by the answer.
+        An order that changes nothing is committed too. Only the commit ensures that the reply
+        includes every order of other operators that was committed before.
         """
         name = request.data_centre or ""
         if name not in self._known():
@@ -45,7 +45,7 @@
             operator=request.operator or "",
             time=clock.wall(),
         )
-        result = await self._node.propose(pack(command), _COMMIT_TIMEOUT)
+        result = await self._node.propose(pack(command), _COMMIT_TIMEOUT_SECONDS)
         decision(
             "evacuate" if command.evacuated else "restore",
             of=name,
@@ -60,10 +60,10 @@
         now = clock.wall()
         return [
             EvacuationRecord(
-                data_centre=held.data_centre,
-                operator=held.operator,
-                version=held.version,
-                age=max(0.0, now - held.since),
+                data_centre=row.data_centre,
+                operator=row.operator,
+                version=row.version,
+                age=max(0.0, now - row.since),
             )
-            for held in self._node.state.evacuations.listed()
+            for row in self._node.state.evacuations.listed()
         ]
--- a/traystall/control/exceptions.py
+++ b/traystall/control/exceptions.py
@@ -16,12 +16,12 @@
 
 
 class LeaderElsewhere(ControlError):
-    """Report that this daemon can't decide now; `leader` is where to ask, or empty."""
+    """Report that this daemon can't decide now; `leader` is the leader's address or empty."""
 
     def __init__(self, leader=""):
         self.leader = leader
-        super().__init__("This control daemon does not lead.")
+        super().__init__("This control daemon is not the leader.")
 
 
 class LeaseLost(ControlError):
-    """Report that the leader's lease ended before something that needs it was done."""
+    """Report that the leader's lease ended before an action that requires it."""
--- a/traystall/control/leader.py
+++ b/traystall/control/leader.py
@@ -1,4 +1,4 @@
-"""Call whoever leads the group now, this daemon or another."""
+"""Client for the group's current leader, which may be this daemon or another."""
 
 import asyncio
 
@@ -10,14 +10,14 @@
 from traystall.rpc.messages import encode
 from traystall.rpc.pacing import transfer_seconds
 
-_RETRY_SECONDS = 0.05
-_CALL_TIMEOUT = 1.0
-# How often is looked whether the daemon that is asked still leads, in seconds.
-_REVIEW_SECONDS = 0.05
+_RETRY_INTERVAL_SECONDS = 0.05
+_CALL_TIMEOUT_SECONDS = 1.0
+# Interval between checks whether the called daemon is still the leader.
+_REVIEW_INTERVAL_SECONDS = 0.05
 
 
-class LeaderCalls:
-    """Send calls that may be repeated to the leader, and follow it when it changes."""
+class LeaderClient:
+    """Send calls to the leader and retry them when it changes; they must be safe to repeat."""
 
     def __init__(self, node: Node, service: ControlService, links: LinkPool):
         self._node = node
@@ -27,22 +27,25 @@
     async def call(self, request, timeout: float):
         """Return the leader's reply; raise RpcError if none came within `timeout` seconds."""
         deadline = clock.monotonic() + timeout
-        # A time-out that doesn't grow with it sends a large request again behind its own copies.
-        longest = _CALL_TIMEOUT + transfer_seconds(len(encode(request)))
+        # The timeout grows with the request's size. Otherwise a large request would be sent again
+        # while earlier copies of it still fill the link.
+        max_call_seconds = _CALL_TIMEOUT_SECONDS + transfer_seconds(len(encode(request)))
         error: RpcError = RpcUnavailable("No leader is known.")
         while (left := deadline - clock.monotonic()) > 0:
             try:
-                return await self._call_once(request, left, longest)
+                return await self._call_once(request, left, max_call_seconds)
             except RpcRefused as refusal:
                 if refusal.code not in ("not-leader", "in-doubt"):
                     raise
                 error = refusal
             except RpcError as failure:
                 error = failure
-            await asyncio.sleep(min(_RETRY_SECONDS, max(0.0, deadline - clock.monotonic())))
+            await asyncio.sleep(
+                min(_RETRY_INTERVAL_SECONDS, max(0.0, deadline - clock.monotonic()))
+            )
         raise error
 
-    async def _call_once(self, request, left, longest):
+    async def _call_once(self, request, left, max_call_seconds):
         if self._node.replica.is_leader:
             try:
                 async with asyncio.timeout(left):
@@ -52,16 +55,16 @@
         address = self._node.leader_address()
         if not address:
             raise RpcUnavailable("No leader is known.")
-        return await self._call_at(address, request, min(left, longest))
+        return await self._call_at(address, request, min(left, max_call_seconds))
 
     async def _call_at(self, address, request, seconds):
-        """Return the reply of one daemon; give it up as soon as another one is known to lead."""
+        """Return the reply of one daemon; raise RpcUnavailable once another leader is known."""
         call = asyncio.create_task(self._links.link(address).call(request, seconds))
         try:
             while not call.done():
-                await asyncio.wait({call}, timeout=_REVIEW_SECONDS)
+                await asyncio.wait({call}, timeout=_REVIEW_INTERVAL_SECONDS)
                 if not call.done() and self._node.leader_address() not in ("", address):
-                    raise RpcUnavailable(f"{address} does not lead any more.")
+                    raise RpcUnavailable(f"{address} is no longer the leader.")
             return call.result()
         finally:
             call.cancel()
--- a/traystall/control/node.py
+++ b/traystall/control/node.py
@@ -1,7 +1,7 @@
-"""Drive a replica: feed it time and messages, carry out what it asks for.
+"""Drive a replica: pass it ticks, messages and proposals, and process its outputs.
 
-The order that safety needs is kept here: messages that depend on a write leave
-only after that write is synced, and the own log counts only once it is synced.
+This module keeps the order that safety requires: messages that depend on a write are sent only
+after that write is synced, and the replica's own log counts for a commit only once it is synced.
 """
 
 import asyncio
@@ -21,16 +21,16 @@
 from traystall.storage.folder import DataFolder
 
 TICK_SECONDS = 0.05
-# How long a disk that refused a write is left alone.
+# Delay between two attempts to write to a failing disk.
 DISK_RETRY_SECONDS = 0.2
-# A snapshot is taken after this many applied entries.
+# Default number of applied entries between two snapshots.
 SNAPSHOT_EVERY = 4096
 
 logger = logging.getLogger(__name__)
 
 
 class _StorageJob(msgspec.Struct):
-    """Hold writes and what may happen once they are synced."""
+    """Hold writes, the messages to send once they are synced, and the log position then reached."""
 
     writes: list
     messages: list
@@ -81,17 +81,17 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await asyncio.get_running_loop().run_in_executor(None, self._folder.close)
 
-    # ---- questions ----
+    # ---- queries ----
 
     def is_fresh(self) -> bool:
-        """Return whether this daemon follows a working leader, or leads with a lease."""
+        """Return whether this daemon leads with a lease or has lately heard from a leader."""
         now = clock.monotonic()
         if self.replica.is_leader:
             return self.replica.holds_lease(now)
         return now - self._leader_seen_at < self.replica.timing.election_max
 
     def leader_address(self) -> str:
-        """Return the address of the leader as known here, or an empty string."""
+        """Return the address of the leader known to this daemon, or an empty string."""
         return self.address_of(self.replica.leader) if self.replica.leader else ""
 
     def address_of(self, identity: str) -> str:
@@ -104,7 +104,7 @@
     # ---- inputs ----
 
     def deliver(self, message) -> None:
-        """Hand a peer's message to the replica."""
+        """Pass a peer's message to the replica and process its outputs."""
         address = getattr(message, "sender_address", None)
         if address:
             self._known_addresses[message.sender] = address
@@ -116,8 +116,8 @@
     async def propose(self, command: bytes, timeout: float):
         """Return the result of a committed command.
 
-        Raise LeaderElsewhere if it is surely not in the log, CommitInDoubt if its fate is unknown,
-        InvalidCommand if it is none.
+        Raise LeaderElsewhere if it is certainly not in the log, CommitInDoubt if it may be,
+        InvalidCommand if it can't be applied.
         """
         self._require_valid(command)
         future = asyncio.get_running_loop().create_future()
@@ -131,18 +131,21 @@
             raise CommitInDoubt("No majority confirmed the change in time.") from error
 
     def _require_valid(self, command):
-        """Refuse what can't be applied: in the log it would end every replica at each start."""
+        """Raise InvalidCommand if the command can't be applied.
+
+        Such a command in the log would crash every replica at each start.
+        """
         try:
             self.state.check(command)
         except msgspec.DecodeError as error:
             raise InvalidCommand(f"The command can't be applied: {error}.") from error
 
     async def change_members(self, members, timeout: float) -> None:
-        """Propose a change of members and return once it is committed.
+        """Propose a membership change and return once it is committed.
 
-        Raise LeaderElsewhere if this replica does not lead, or lost its place before the change
-        was committed and another leader's entry replaced it; CommitInDoubt if its fate is unknown;
-        ConsensusError if it may not be proposed now.
+        Raise LeaderElsewhere if this replica is not the leader, or if it lost leadership before the
+        commit and another leader's entry replaced the change; CommitInDoubt if the change may have
+        been committed; ConsensusError if it may not be proposed now.
         """
         try:
             index = self.replica.propose_members(members, clock.monotonic())
@@ -158,9 +161,9 @@
             raise CommitInDoubt("No majority confirmed the change of members in time.") from error
 
     def pump(self) -> None:
-        """Carry out what the replica has asked for since the last call."""
+        """Process the replica's outputs until there are none left."""
         while ready := self.replica.take_ready():
-            self._carry_out(ready)
+            self._process(ready)
         metrics.consensus_term.set({}, self.replica.term)
         metrics.consensus_commit.set({}, self.replica.commit_index)
 
@@ -179,17 +182,17 @@
             self._waiting[index] = (self.replica.term, future)
         self.pump()
 
-    def _carry_out(self, ready: Ready):
+    def _process(self, ready: Ready):
         self._send(ready.messages)
         if ready.restore is not None:
             self.state.restore(ready.restore.data)
-            self._doubt_all()
+            self._fail_waiting_in_doubt()
         if ready.writes or ready.messages_after_sync:
             self._store(ready)
         if ready.committed:
             self._apply(ready.committed)
         elif ready.restore is not None:
-            self._notify()
+            self._notify_applied()
 
     def _store(self, ready):
         idle = not self._storage_busy and self._jobs.empty()
@@ -212,10 +215,10 @@
             self._after_sync(jobs)
 
     async def _write_until_synced(self, writes):
-        """Return once the disk has taken `writes`; until then nothing that depends on them leaves.
+        """Write until the disk accepts `writes`; messages that depend on them wait until then.
 
-        A leader whose disk fails goes on as long as the others confirm its
-        entries; it is only its own copy that doesn't count.
+        A leader with a failing disk continues as long as a majority of the other voters confirms
+        its entries; only its own copy does not count.
         """
         loop = asyncio.get_running_loop()
         step = functools.partial(self._folder.write, writes)
@@ -245,7 +248,7 @@
             if entry.kind == EntryKind.COMMAND:
                 result = self.state.apply(entry.command)
             self._resolve(entry, result)
-        self._notify()
+        self._notify_applied()
         applied = self.replica.applied_index
         if applied - self.replica.log.snapshot_index >= self._snapshot_every:
             self.replica.compact(applied, self.state.snapshot())
@@ -259,12 +262,12 @@
         else:
             future.set_exception(LeaderElsewhere(self.leader_address()))
 
-    def _doubt_all(self):
+    def _fail_waiting_in_doubt(self):
         for _, future in self._waiting.values():
             _fail(future, CommitInDoubt("The state was replaced while the change was pending."))
         self._waiting.clear()
 
-    def _notify(self):
+    def _notify_applied(self):
         for callback in self.on_applied:
             callback()
 
@@ -298,7 +301,7 @@
         task.add_done_callback(self._on_done)
 
     def _on_done(self, task):
-        """Forget a task; one that died of an error ends the daemon."""
+        """Drop a finished task; an unexpected exception in it ends the daemon."""
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None and not self.failed.done():
             logger.critical("replica failed", exc_info=task.exception())
--- a/traystall/control/order_client.py
+++ b/traystall/control/order_client.py
@@ -1,4 +1,4 @@
-"""The calls of orders: what an engine holds, and what it shall load."""
+"""Client for engines: query which models they hold, and order which ones to load."""
 
 import json
 from collections.abc import AsyncIterator, Callable
@@ -17,26 +17,26 @@
 
 _STATE_TIMEOUT_SECONDS = 1.0
 _OK = 200
-# The outcome of an order that was not sent since its target has asked for rest.
-RESTING = "resting"
-# The outcome of an order that was not sent since others have what its target takes.
-LIMITED = "limited"
-# Statuses from here on are failures.
-_FAILURES = 500
+# Outcome of an order that was not sent because its target asked for a backoff (Retry-After).
+BACKING_OFF = "resting"
+# Outcome of an order that was not sent because other processes hold the target's permits.
+RATE_LIMITED = "limited"
+# HTTP statuses from this one on are failures.
+_MIN_FAILURE_STATUS = 500
 
 
 class OrderClient:
-    """Call engines; `may_order(term)` says whether the lease of a term still holds.
+    """Call engines; `holds_lease(term)` returns whether the leader's lease of a term still holds.
 
-    `permits` asks the gateways that lend what an engine takes.
+    `permits` requests permits for rate-limited engines from the gateways that grant them.
     """
 
-    def __init__(self, may_order: Callable[[int], bool], permits: Permits):
-        self._may_order = may_order
+    def __init__(self, holds_lease: Callable[[int], bool], permits: Permits):
+        self._holds_lease = holds_lease
         self._permits = permits
-        # What targets have asked of this daemon, by address.
-        self._asked: dict[str, Availability] = {}
-        # No connection is kept, so that the client never resends an order by itself.
+        # Targets that asked this daemon for a backoff, by address.
+        self._availability: dict[str, Availability] = {}
+        # Connections are not reused, so that the client never resends an order on its own.
         self._session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(force_close=True))
 
     async def close(self) -> None:
@@ -44,31 +44,32 @@
         await self._session.close()
 
     async def observe(self, target: Target) -> EngineState | None:
-        """Return what a target holds and loads, or None if it does not say or rests."""
-        if self._rests(target) or not await self._is_lent(target, is_spare=True):
+        """Return a target's ready and loading models; None if unknown, backing off or limited."""
+        if self._is_backing_off(target) or not await self._acquire_permit(target, is_spare=True):
             return None
         timeout = aiohttp.ClientTimeout(total=_STATE_TIMEOUT_SECONDS)
         sent_at = clock.monotonic()
         try:
             url = f"http://{target.address}/v1/state"
             async with self._session.get(url, timeout=timeout) as response:
-                self._note(target, response, sent_at)
+                self._record_announcements(target, response, sent_at)
                 if response.status != _OK:
-                    # Its body tells nothing: one that is busy seemed to hold no model.
+                    # The body of an error holds no state: a busy engine would appear to hold no
+                    # models.
                     return None
                 body = await response.json()
             return EngineState(
-                target.name, _loaded(body.get("ready", [])), _loaded(body.get("loading", []))
+                target.name, _to_models(body.get("ready", [])), _to_models(body.get("loading", []))
             )
         except (aiohttp.ClientError, TimeoutError, ValueError, KeyError, TypeError):
             return None
 
     async def send(self, target: Target, body: dict, timeout_seconds: float) -> str:
-        """Give an order; return the status of the answer, or the name of what went wrong."""
-        if self._rests(target):
-            return RESTING
-        if not await self._is_lent(target):
-            return LIMITED
+        """Send an order; return the response status, or the name of the reason or exception."""
+        if self._is_backing_off(target):
+            return BACKING_OFF
+        if not await self._acquire_permit(target):
+            return RATE_LIMITED
         sent_at = clock.monotonic()
         timeout = aiohttp.ClientTimeout(total=timeout_seconds)
         url = f"http://{target.address}/v1/orders"
@@ -78,64 +79,64 @@
             async with self._session.post(
                 url, data=content, headers=headers, timeout=timeout
             ) as response:
-                self._note(target, response, sent_at, is_work=True)
+                self._record_announcements(target, response, sent_at, is_work=True)
                 return str(response.status)
         except (aiohttp.ClientError, TimeoutError, LeaseLost) as error:
             return type(error).__name__
 
-    def _rests(self, target):
-        availability = self._asked.get(target.address)
+    def _is_backing_off(self, target):
+        availability = self._availability.get(target.address)
         if availability is None or availability.is_backing_off(clock.monotonic()):
             return availability is not None
-        del self._asked[target.address]
+        del self._availability[target.address]
         return False
 
-    async def _is_lent(self, target, is_spare=False) -> bool:
-        """Return whether an engine takes one more request of all processes together."""
-        life = _life(target)
-        if not self._permits.limit(life).is_limited:
+    async def _acquire_permit(self, target, is_spare=False) -> bool:
+        """Return whether the engine's limit, shared by all processes, allows one more request."""
+        limit_key = _limit_key(target)
+        if not self._permits.limit(limit_key).is_limited:
             return True
         try:
-            await self._permits.take(life, target.data_centre, is_spare=is_spare)
+            await self._permits.take(limit_key, target.data_centre, is_spare=is_spare)
         except PermitDenied:
             return False
         return True
 
-    def _note(self, target, response, sent_at, is_work=False):
-        """Take in what a target asks for: orders and questions wait as well."""
-        self._note_limit(target, response, sent_at, is_work)
+    def _record_announcements(self, target, response, sent_at, is_work=False):
+        """Record a limit or backoff that a target announced; it holds for orders and queries."""
+        self._record_limit(target, response, sent_at, is_work)
         if response.status != SERVICE_UNAVAILABLE:
             return
         seconds = parse_retry_after(
             response.headers.getall(RETRY_AFTER, []), response.headers.get("Date")
         )
         if seconds:
-            availability = self._asked.setdefault(target.address, Availability())
+            availability = self._availability.setdefault(target.address, Availability())
             availability.request_backoff(seconds, "", clock.monotonic())
 
-    def _note_limit(self, target, response, sent_at, is_work):
-        """Take in a limit; only an answer to work that is no failure shows that one has ended."""
-        word = parse_limit(response.headers.getall(LIMIT_HEADER, []))
-        if word is None:
+    def _record_limit(self, target, response, sent_at, is_work):
+        """Record an announced limit; only a successful response to work proves that one ended."""
+        announced = parse_limit(response.headers.getall(LIMIT_HEADER, []))
+        if announced is None:
             return
-        if word.per_second is not None or (is_work and response.status < _FAILURES):
-            self._permits.observe_answer(_life(target), word, sent_at, "")
+        if announced.per_second is not None or (is_work and response.status < _MIN_FAILURE_STATUS):
+            self._permits.observe_answer(_limit_key(target), announced, sent_at, "")
 
     async def _body_under_lease(self, data: bytes, term: int) -> AsyncIterator[bytes]:
-        """Yield the body only if the lease still holds at the moment of writing.
+        """Yield the body only if the lease still holds when it is written.
 
-        A daemon that was frozen after it decided to order must not finish the
-        order when it wakes; a request cut before its body is not acted on.
+        A daemon that was suspended after it decided on an order must not complete the order when it
+        resumes. An engine does not act on a request that ends before its body.
         """
-        if not self._may_order(term):
+        if not self._holds_lease(term):
             raise LeaseLost("The lease ended before the order was written.")
         yield data
 
 
-def _life(target: Target) -> str:
-    """Return the name under which all processes know an engine's limit."""
+def _limit_key(target: Target) -> str:
+    """Return the key under which all processes share an engine's limit."""
     return f"{target.name}@{target.address}"
 
 
-def _loaded(items):
+def _to_models(items):
     return frozenset(LoadedModel(item["name"], item["version"]) for item in items)
--- a/traystall/control/orders.py
+++ b/traystall/control/orders.py
@@ -1,4 +1,4 @@
-"""Give orders to engines while this daemon holds the leader's lease."""
+"""Send orders to engines while this daemon holds the leader's lease."""
 
 import asyncio
 import itertools
@@ -18,7 +18,7 @@
 from traystall.tables.configuration import ConfigurationTables
 from traystall.tables.entities import Kind
 
-_ROUND_SECONDS = 1.0
+_ROUND_INTERVAL_SECONDS = 1.0
 
 if TYPE_CHECKING:
     from traystall.control.order_client import OrderClient
@@ -26,27 +26,27 @@
 logger = logging.getLogger(__name__)
 
 
-class Orderer:
-    """Observe engines and order what the plan asks for."""
+class OrderSender:
+    """Observe the engines and send them the orders that the plan contains."""
 
     def __init__(self, node: Node, permits: Permits):
         self._node = node
         self._permits = permits
         self._sequence = itertools.count(1)
-        self._elected: tuple[int, float] = (0, 0.0)
+        self._leadership: tuple[int, float] = (0, 0.0)
         self._budget = LoadBudget(rate=1.0)
         self._tables = ConfigurationTables()
         self._client: OrderClient | None = None
 
     async def run_forever(self) -> None:
-        """Do a round of orders each second while the lease is held."""
+        """Run one round of orders each second while the lease is held."""
         while True:
-            await asyncio.sleep(_ROUND_SECONDS)
-            if not self._may_order():
+            await asyncio.sleep(_ROUND_INTERVAL_SECONDS)
+            if not self._may_send_orders():
                 continue
             try:
-                await self._round()
-            except Exception:  # noqa: BLE001 - one bad round must not end all orders.
+                await self._run_round()
+            except Exception:  # noqa: BLE001 - a failed round must not stop later ones.
                 logger.exception("order round failed")
 
     async def close(self) -> None:
@@ -54,16 +54,16 @@
         if self._client is not None:
             await self._client.close()
 
-    def _may_order(self):
+    def _may_send_orders(self):
         replica = self._node.replica
         now = clock.monotonic()
         if not replica.holds_lease(now):
             return False
-        if self._elected[0] != replica.term:
-            self._elected = (replica.term, now)
+        if self._leadership[0] != replica.term:
+            self._leadership = (replica.term, now)
         return True
 
-    async def _round(self):
+    async def _run_round(self):
         tables = self._current_tables()
         models = tables.models()
         if not models:
@@ -71,13 +71,13 @@
         self._permits.refresh_lenders()
         client = self._open_client()
         engines = [t for t in tables.targets() if t.kind is Kind.ENGINE]
-        found = await asyncio.gather(*(client.observe(target) for target in engines))
-        states = {state.target: state for state in found if state is not None}
+        observed = await asyncio.gather(*(client.observe(target) for target in engines))
+        states = {state.target: state for state in observed if state is not None}
         policy = tables.order_policy()
         self._budget.rate = policy.loads_per_minute / 60
         orders = plan(models, engines, states, self._budget, clock.monotonic())
         by_name = {target.name: target for target in engines}
-        await asyncio.gather(*(self._give(by_name[o.target], o, policy) for o in orders))
+        await asyncio.gather(*(self._send_order(by_name[o.target], o, policy) for o in orders))
 
     def _current_tables(self):
         catalog = self._node.state.catalog
@@ -85,8 +85,8 @@
             self._tables = ConfigurationTables(catalog.number, catalog.entities)
         return self._tables
 
-    async def _give(self, target, order: Order, policy):
-        term, elected_at = self._elected
+    async def _send_order(self, target, order: Order, policy):
+        term, elected_at = self._leadership
         if not target.fencing:
             lease = self._node.replica.timing.lease
             if clock.monotonic() < earliest_order_time(elected_at, lease, policy.order_timeout):
@@ -112,9 +112,9 @@
         return replica.term == term and replica.holds_lease(clock.monotonic())
 
     def _open_client(self):
-        """Return who calls engines; its HTTP library is loaded with the first order.
+        """Return the client; its HTTP library is imported when it is first needed.
 
-        Most groups give none, and its import takes 0.2 s of processor at each start.
+        Most groups send no orders, and the import takes 0.2 s of CPU time.
         """
         if self._client is None:
             from traystall.control.order_client import OrderClient
--- a/traystall/control/service.py
+++ b/traystall/control/service.py
@@ -1,4 +1,4 @@
-"""Answer the calls of gateways, peers and operators."""
+"""RPC service of a control daemon for gateways, peers and operators."""
 
 import asyncio
 import hmac
@@ -22,16 +22,16 @@
 from traystall.rpc.pacing import transfer_seconds
 from traystall.rpc.records import to_wire_member
 
-COMMIT_TIMEOUT = 3.0
+COMMIT_TIMEOUT_SECONDS = 3.0
 _MAX_REBASES = 20
-_DOUBTFUL_SHOWN = 100
-_SUSPECTS_SHOWN = 100
+_MAX_DOUBTFUL_SHOWN = 100
+_MAX_SUSPECTS_SHOWN = 100
 
 logger = logging.getLogger(__name__)
 
 
 class ControlService:
-    """Dispatch wire requests to the replicated state and the subscribers."""
+    """Dispatch RPC requests to the replicated state and the subscribers."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         self._evacuations = evacuations
         self._operator_token = operator_token
         self._rule = rule
-        # Applies that wait for their commit, by term, number and digest.
+        # Apply requests that wait for their commit, by term, number and digest.
         self._applying: dict[tuple[int, int, bytes], asyncio.Task] = {}
         self._handlers = {
             ttypes.ProbeRequest: self._probe,
@@ -66,12 +66,12 @@
             ttypes.EvacuateRequest: self._evacuate,
         }
 
-    def add_handler(self, kind, handler) -> None:
-        """Serve requests of the generated class `kind` by `handler`."""
-        self._handlers[kind] = handler
+    def add_handler(self, request_type, handler) -> None:
+        """Pass requests of the generated class `request_type` to `handler`."""
+        self._handlers[request_type] = handler
 
     async def handle(self, request):
-        """Return the reply to one request; consensus messages get none."""
+        """Return the reply to one request; None for consensus messages."""
         handler = self._handlers.get(type(request))
         if handler is None:
             if not isinstance(request, PEER_MESSAGES):
@@ -102,7 +102,7 @@
         )
 
     async def _digest(self, request):
-        return self._subscribers.exchange(request)
+        return self._subscribers.merge_peer_gateways(request)
 
     # ---- catalog ----
 
@@ -111,15 +111,16 @@
         if entities_digest(request.entities or {}) != request.digest:
             raise RpcRefused("bad-digest", "The bundle does not have the digest it came with.")
         self._require_lease()
-        # Operators repeat what is not confirmed in time. Proposed again, a large bundle would stand
-        # behind its own copies; after an election its fate may differ, so it is asked for anew.
+        # Operators repeat requests that are not confirmed in time. A repeated request waits for the
+        # running task, since proposing a large bundle again would queue it behind its own copies.
+        # After an election the outcome may differ, so the term is part of the key.
         key = (self._node.replica.term, request.number, request.digest)
-        under_way = self._applying.get(key)
-        if under_way is None:
-            under_way = asyncio.create_task(self._apply_until_decided(request))
-            self._applying[key] = under_way
-            under_way.add_done_callback(lambda task: self._forget_apply(key, task))
-        return await asyncio.shield(under_way)
+        running = self._applying.get(key)
+        if running is None:
+            running = asyncio.create_task(self._apply_until_decided(request))
+            self._applying[key] = running
+            running.add_done_callback(lambda task: self._forget_apply(key, task))
+        return await asyncio.shield(running)
 
     def _forget_apply(self, key, task):
         del self._applying[key]
@@ -145,25 +146,25 @@
         self._require_lease()
         if self._rule is NumberRule.HIGHEST:
             decided = catalog.lookup_highest(request.number)
-            kind = SupersedeBundle
+            command_type = SupersedeBundle
         else:
             decided = catalog.lookup(request.number, request.digest)
-            kind = ApplyBundle
+            command_type = ApplyBundle
         if decided is not None:
             return decided
-        command = kind(
+        command = command_type(
             number=request.number,
             digest=request.digest,
             operator=request.operator,
             delta=make_delta(catalog.entities, request.entities or {}),
         )
         packed = pack(command)
-        # Two peers share the leader's link.
-        seconds = COMMIT_TIMEOUT + 2 * transfer_seconds(len(packed))
+        # The leader sends the command to two peers over one link.
+        seconds = COMMIT_TIMEOUT_SECONDS + 2 * transfer_seconds(len(packed))
         return await self._node.propose(packed, seconds)
 
     async def _read(self, request):
-        """Return the newest revision, or refuse: another leader may know a newer one."""
+        """Return the newest revision; refuse without a lease: another leader may have a newer."""
         self._require_lease()
         catalog = self._node.state.catalog
         return ttypes.ReadReply(
@@ -174,7 +175,7 @@
         self._require_operator(request.token)
         replica = self._node.replica
         if not replica.is_leader and self._node.is_fresh():
-            # Cut off from a leader, this daemon answers with what it knows itself.
+            # Only the leader answers; without contact to one, this daemon reports its own state.
             raise LeaderElsewhere(self._node.leader_address())
         catalog = self._node.state.catalog
         unsettled = self._node.state.ledger.unsettled()
@@ -193,11 +194,11 @@
             gateways=self._subscribers.records(),
             members=[to_wire_member(member) for member in replica.committed_members],
             lease=replica.holds_lease(clock.monotonic()),
-            doubtful=doubtful[:_DOUBTFUL_SHOWN],
+            doubtful=doubtful[:_MAX_DOUBTFUL_SHOWN],
             claims=len(self._node.state.ledger),
             evacuation_version=self._node.state.evacuations.places.version,
             evacuations=self._evacuations.records(),
-            suspects=to_details(self._node.state.suspects)[:_SUSPECTS_SHOWN],
+            suspects=to_details(self._node.state.suspects)[:_MAX_SUSPECTS_SHOWN],
         )
 
     # ---- ledger ----
@@ -213,7 +214,7 @@
             retention=request.retention,
             time=clock.wall(),
         )
-        result = await self._node.propose(pack(command), COMMIT_TIMEOUT)
+        result = await self._node.propose(pack(command), COMMIT_TIMEOUT_SECONDS)
         return ttypes.ClaimReply(
             outcome=result.outcome.value,
             claim_id=result.claim_id,
@@ -232,7 +233,7 @@
             holders=request.holders or [],
             time=clock.wall(),
         )
-        outcome = await self._node.propose(pack(command), COMMIT_TIMEOUT)
+        outcome = await self._node.propose(pack(command), COMMIT_TIMEOUT_SECONDS)
         return ttypes.SettleReply(outcome=outcome.value)
 
     async def _release(self, request):
@@ -242,7 +243,7 @@
             claim_id=request.claim_id,
             time=clock.wall(),
         )
-        outcome = await self._node.propose(pack(command), COMMIT_TIMEOUT)
+        outcome = await self._node.propose(pack(command), COMMIT_TIMEOUT_SECONDS)
         return ttypes.ReleaseReply(outcome=outcome.value)
 
     # ---- evacuations ----
--- a/traystall/control/settings.py
+++ b/traystall/control/settings.py
@@ -58,7 +58,7 @@
 
 
 def check_control(settings: Settings) -> list[Problem]:
-    """Return what is wrong with the settings taken together."""
+    """Return the problems that single settings and their combinations have."""
     problems = check_address("rpc_listen", settings.rpc_listen)
     problems += check_address("http_listen", settings.http_listen)
     if settings.rpc_advertise:
--- a/traystall/control/state.py
+++ b/traystall/control/state.py
@@ -1,4 +1,4 @@
-"""The replicated state machine: catalog, ledger, evacuations and suspects behind one log."""
+"""The replicated state machine: catalog, ledger, evacuations and suspects, driven by one log."""
 
 import msgspec
 
@@ -26,11 +26,11 @@
 
 
 class StateSnapshot(msgspec.Struct, frozen=True):
-    """Hold the encoded parts of a snapshot."""
+    """Hold a snapshot as the encoded snapshots of its components."""
 
     catalog: bytes
     ledger: bytes
-    # Snapshots of earlier releases have none.
+    # Snapshots of earlier releases lack the following fields.
     evacuations: bytes = b""
     suspects: bytes = b""
 
@@ -71,18 +71,18 @@
 
     def snapshot(self) -> bytes:
         """Return the encoded state."""
-        held = StateSnapshot(
+        parts = StateSnapshot(
             self.catalog.snapshot(),
             self.ledger.snapshot(),
             self.evacuations.snapshot(),
             self.suspects.snapshot(),
         )
-        return pack(held)
+        return pack(parts)
 
     def restore(self, data: bytes) -> None:
         """Replace the state by an encoded one."""
-        held = unpack(data, StateSnapshot)
-        self.catalog.restore(held.catalog)
-        self.ledger.restore(held.ledger)
-        self.evacuations.restore(held.evacuations)
-        self.suspects.restore(held.suspects)
+        parts = unpack(data, StateSnapshot)
+        self.catalog.restore(parts.catalog)
+        self.ledger.restore(parts.ledger)
+        self.evacuations.restore(parts.evacuations)
+        self.suspects.restore(parts.suspects)
--- a/traystall/control/subscribers.py
+++ b/traystall/control/subscribers.py
@@ -1,4 +1,7 @@
-"""Gateways that watch: hand them deltas, note what they have in force, share the directory."""
+"""Subscribed gateways: answer their watches, record their state, share the gateway directory.
+
+A watch is a long poll for updates of the configuration, evacuations, suspects and directory.
+"""
 
 import asyncio
 import contextlib
@@ -25,18 +28,18 @@
 from traystall.rpc.records import to_record, to_row
 from traystall.tables.gateways import GatewayRow, GatewayTable
 
-# How long a watch is held open when nothing is new, in seconds.
-WATCH_HOLD = 1.0
-# An operator's client that reads the configuration calls itself this; it is not listed.
+# How long a watch without updates is held open.
+WATCH_HOLD_SECONDS = 1.0
+# State in the watch of an operator's client that reads the configuration; it isn't listed.
 OPERATOR_STATE = "operator"
-_SHARE_SECONDS = 1.0
-_SHARE_TIMEOUT = 1.0
+_SHARE_INTERVAL_SECONDS = 1.0
+_SHARE_TIMEOUT_SECONDS = 1.0
 
 logger = logging.getLogger(__name__)
 
 
 class Subscribers:
-    """Answer watches and keep the directory of gateways."""
+    """Answer watches and maintain the directory of gateways."""
 
     def __init__(self, node: Node, links: LinkPool, address: str):
         self.table = GatewayTable()
@@ -44,39 +47,39 @@
         self._links = links
         self._address = address
         self._directory = DirectoryNews(self.table)
-        # Set by whatever is new, and by what isn't gathered: all but the directory.
-        self._changed = asyncio.Event()
-        self._urgent = asyncio.Event()
+        # The first is set by every update, the second by all but directory changes.
+        self._anything_changed = asyncio.Event()
+        self._state_changed = asyncio.Event()
         self._copies = CopySource(self._copy_from)
         node.on_applied.append(self._wake)
 
     async def watch(self, request: WatchRequest) -> WatchReply:
-        """Return what is new to a gateway, waiting a while if nothing is."""
+        """Return the updates for a gateway; wait up to the hold time if there are none."""
         _require_gateway(request)
         if request.gateway.state != OPERATOR_STATE:
-            self._note(request.gateway, direct=True)
+            self._record_gateway(request.gateway, direct=True)
         now = clock.monotonic()
-        deadline, gathered_at = now + WATCH_HOLD, self._directory.gathered_at(request, now)
-        while now < deadline and not self._has_news(request):
-            if now < gathered_at:
-                await self._wait(self._urgent, gathered_at - now)
-            elif self._directory.is_news(request):
+        deadline, batch_end = now + WATCH_HOLD_SECONDS, self._directory.batch_end(request, now)
+        while now < deadline and not self._has_updates(request):
+            if now < batch_end:
+                await self._wait(self._state_changed, batch_end - now)
+            elif self._directory.has_changes(request):
                 break
             else:
-                await self._wait(self._changed, deadline - now)
+                await self._wait(self._anything_changed, deadline - now)
             now = clock.monotonic()
         return self._reply(request)
 
     async def transfer(self, request: TransferRequest) -> TransferReply:
-        """Return a chunk of a configuration that was offered to a watcher."""
+        """Return a chunk of a configuration that a watch reply offered."""
         _require_gateway(request)
-        self._note(request.gateway, direct=True)
+        self._record_gateway(request.gateway, direct=True)
         return self._copies.chunk(request)
 
-    def exchange(self, request: DigestRequest) -> DigestReply:
-        """Take in the gateways that another control daemon serves."""
+    def merge_peer_gateways(self, request: DigestRequest) -> DigestReply:
+        """Add the gateways that another control daemon serves to the directory."""
         for record in request.gateways or ():
-            self._note(record, direct=False)
+            self._record_gateway(record, direct=False)
         return DigestReply(gateways=[])
 
     def records(self) -> list[GatewayRecord]:
@@ -89,13 +92,13 @@
         return self.table.live(clock.monotonic())
 
     def is_live(self, identity: str) -> bool:
-        """Return whether a gateway was seen lately by any control daemon."""
+        """Return whether any control daemon has heard from a gateway within the timeout."""
         return self.table.is_live(identity, clock.monotonic())
 
-    async def share_forever(self) -> None:
-        """Tell the other control daemons which gateways this one serves."""
+    async def share_directory_forever(self) -> None:
+        """Send the gateways that this daemon serves to the other control daemons."""
         while True:
-            await asyncio.sleep(_SHARE_SECONDS)
+            await asyncio.sleep(_SHARE_INTERVAL_SECONDS)
             now = clock.monotonic()
             direct = [to_record(row, now) for row in self.table.live(now) if row.direct]
             request = DigestRequest(sender=self._node.replica.identity, gateways=direct)
@@ -104,11 +107,11 @@
 
     async def _share(self, address, request):
         try:
-            await self._links.link(address).call(request, _SHARE_TIMEOUT)
+            await self._links.link(address).call(request, _SHARE_TIMEOUT_SECONDS)
         except RpcError as error:
             logger.debug("directory not shared", extra={"peer": address, "why": str(error)})
 
-    def _has_news(self, request):
+    def _has_updates(self, request):
         catalog = self._node.state.catalog
         if (request.gateway.evacuation_version or 0) < self._node.state.evacuations.places.version:
             return True
@@ -151,24 +154,24 @@
                 await event.wait()
 
     def _wake(self):
-        """Wake every watch that waits; later ones wait on a new event."""
-        urgent, self._urgent = self._urgent, asyncio.Event()
+        """Wake all waiting watches; later ones wait on new events."""
+        urgent, self._state_changed = self._state_changed, asyncio.Event()
         urgent.set()
-        self._wake_gathered()
+        self._wake_batched()
 
-    def _wake_gathered(self):
-        """Wake the watches that news of the directory alone may answer by now."""
-        changed, self._changed = self._changed, asyncio.Event()
+    def _wake_batched(self):
+        """Wake the watches that directory changes alone may answer by now."""
+        changed, self._anything_changed = self._anything_changed, asyncio.Event()
         changed.set()
 
-    def _note(self, record, direct):
+    def _record_gateway(self, record, direct):
         now = clock.monotonic()
         version = self.table.version
-        # An age below 0 would list it for ever: later signs of it would be older.
+        # An age below 0 would list the gateway forever: later reports would appear to be older.
         age = max(0.0, record.age or 0.0)
         self.table.put(to_row(record, now - age, direct))
         if self.table.version != version:
-            self._wake_gathered()
+            self._wake_batched()
 
 
 def _require_gateway(request):
--- a/traystall/control/suspects.py
+++ b/traystall/control/suspects.py
@@ -1,4 +1,7 @@
-"""Take reports of ended targets, grant trials of suspects, and lift what is held against one."""
+"""Suspects: record reports of ended targets, grant trials, and lift suspicions.
+
+A suspect is a request after whose runs targets ended; it may run again only as a granted trial.
+"""
 
 import hmac
 from collections.abc import Iterable
@@ -17,43 +20,43 @@
 )
 from traystall.rpc.gen.wire import ttypes
 
-# How long the members may take to confirm, in seconds; as for a claim.
-_COMMIT_TIMEOUT = 3.0
+# Timeout for a commit; the same as for a claim.
+_COMMIT_TIMEOUT_SECONDS = 3.0
 
 
-class SuspectCalls:
-    """Answer at the leader; every decision is made by the log, so that all replicas keep it."""
+class SuspectService:
+    """Handle calls on the leader; decisions are made by the log, so that all replicas keep them."""
 
     def __init__(self, node: Node, operator_token: str):
         self._node = node
         self._operator_token = operator_token
 
     async def report(self, request: ttypes.ReportRunsRequest) -> ttypes.ReportRunsReply:
-        """Return once the ends are committed; a report that comes again changes nothing."""
+        """Return once the reported ends are committed; a repeated report changes nothing."""
         command = ReportRuns(
             ended=tuple(_to_ended(one) for one in request.ended or ()),
             served=tuple(request.served or ()),
             released=tuple(request.released or ()),
             time=clock.wall(),
         )
-        self._log(await self._node.propose(pack(command), _COMMIT_TIMEOUT))
+        self._log(await self._node.propose(pack(command), _COMMIT_TIMEOUT_SECONDS))
         return ttypes.ReportRunsReply(version=self._node.state.suspects.version)
 
     async def begin_trial(self, request: ttypes.TrialRequest) -> ttypes.TrialReply:
-        """Answer whether a suspect may be sent now."""
+        """Return the verdict on whether a suspect may be sent now."""
         command = BeginTrial(request.digest, request.trial, clock.wall())
-        result = await self._node.propose(pack(command), _COMMIT_TIMEOUT)
+        result = await self._node.propose(pack(command), _COMMIT_TIMEOUT_SECONDS)
         self._log(result.updates)
         decision("trial", suspect=request.digest.hex(), verdict=result.verdict.value)
         return ttypes.TrialReply(verdict=result.verdict.value, seconds=result.seconds)
 
     async def lift(self, request: ttypes.LiftRequest) -> ttypes.LiftReply:
-        """Forget what is held against a request, by an operator's order."""
+        """Clear the suspicion of a request on an operator's order."""
         token = request.token or ""
         if self._operator_token and not hmac.compare_digest(token, self._operator_token):
             raise RpcRefused("forbidden", "Operators' calls need the cluster's operator token.")
         command = LiftSuspect(request.digest or b"", request.operator or "", clock.wall())
-        updates = await self._node.propose(pack(command), _COMMIT_TIMEOUT)
+        updates = await self._node.propose(pack(command), _COMMIT_TIMEOUT_SECONDS)
         self._log(updates)
         return ttypes.LiftReply(lifted=bool(updates))
 
--- a/traystall/control/targets_api.py
+++ b/traystall/control/targets_api.py
@@ -1,7 +1,7 @@
-"""Targets that register themselves, over HTTP at a control daemon's own address.
+"""HTTP API of a control daemon for targets that register themselves.
 
-PUT /v1/targets/{identity}     a report of a target about itself, as JSON
-DELETE /v1/targets/{identity}  the target is gone
+PUT /v1/targets/{identity}     register the target, or update its report (JSON)
+DELETE /v1/targets/{identity}  unregister the target
 """
 
 from typing import Annotated
@@ -19,7 +19,7 @@
 
 
 class _Report(msgspec.Struct, forbid_unknown_fields=True):
-    """Hold the body of a report; fields as in `TargetReport`."""
+    """Hold the body of a report; the fields are those of `TargetReport`."""
 
     pool: str
     address: str
@@ -33,7 +33,7 @@
 
 
 def add_target_calls(router: Router, registry: RegistryService) -> None:
-    """Add the calls of targets to `router`."""
+    """Add the routes of this API to `router`."""
 
     async def report(request: Request, identity: str) -> Response:
         try:
