--- a/tests/consensus/test_append_width.py
+++ b/tests/consensus/test_append_width.py
@@ -16,9 +16,9 @@
 class Group:
     """Three replicas; each sends over a link of limited bandwidth, shared by its two peers."""
 
-    def __init__(self, width):
+    def __init__(self, bytes_per_second):
         self.now = 0.0
-        self.width = width
+        self.bytes_per_second = bytes_per_second
         self.replicas = {name: make_replica(name) for name in VOTERS}
         for seed, replica in enumerate(self.replicas.values()):
             replica._random.seed(seed)
@@ -49,7 +49,7 @@
         self.bytes += size
         pair = (name, message.to)
         # Each of the two followers gets half of the bandwidth.
-        at = max(self.now, self.link_free_at[pair]) + size / (self.width / 2)
+        at = max(self.now, self.link_free_at[pair]) + size / (self.bytes_per_second / 2)
         self.link_free_at[pair] = at
         self.in_flight.append((at, message.to, message))
 
@@ -83,7 +83,7 @@
                 committed = group.now
     terms = max(r.term for r in group.replicas.values()) - term
     took = f"{committed - started_at:.1f} s" if committed else "never in 120 s"
-    alone = 2 * len(command) / group.width
+    alone = 2 * len(command) / group.bytes_per_second
     summary = (
         f"{kilobytes} KB at {mbit} Mbit/s: committed {took} ({alone:.1f} s alone), {terms} more "
         f"terms, {proposed} proposals, {(group.bytes - before) / 1e6:.1f} MB sent"
--- a/tests/consensus/test_entry_parts.py
+++ b/tests/consensus/test_entry_parts.py
@@ -88,7 +88,7 @@
         group.step()
     while leader.commit_index < last and group.now < started_at + 60:
         group.step()
-    alone = 2 * kilobytes * 1000 / group.width
+    alone = 2 * kilobytes * 1000 / group.bytes_per_second
     assert max(replica.term for replica in group.replicas.values()) == term
     assert leader.commit_index >= last
     assert group.now - started_at < 3 * alone + 1
--- a/tests/consensus/test_snapshot_width.py
+++ b/tests/consensus/test_snapshot_width.py
@@ -16,7 +16,7 @@
 
 @pytest.mark.parametrize("mbit", [5, 10, 20, 100])
 def test_resent_chunks_do_not_fill_the_link(mbit):
-    width = mbit * 1e6 / 8
+    bytes_per_second = mbit * 1e6 / 8
     leader, now = leader_with_snapshot()
     follower = make_replica("c/1", now=-10.0)
     follower.log = ReplicaLog()
@@ -31,10 +31,10 @@
             ready = replica.take_ready()
             for message in [*ready.messages, *ready.messages_after_sync] if ready else []:
                 if isinstance(message, SnapshotChunk):
-                    if (link_free_at - now) * width > MAX_UNSENT_BYTES:
+                    if (link_free_at - now) * bytes_per_second > MAX_UNSENT_BYTES:
                         continue
                     sent += 1
-                    link_free_at = max(now, link_free_at) + len(message.data) / width
+                    link_free_at = max(now, link_free_at) + len(message.data) / bytes_per_second
                     in_flight.append((link_free_at, to, message))
                 elif isinstance(message, SnapshotReply):
                     in_flight.append((now, to, message))
@@ -42,7 +42,7 @@
         in_flight = [entry for entry in in_flight if entry[0] > now]
         for _, to, message in due:
             to.receive(message, now)
-    alone = CHUNKS * SNAPSHOT_CHUNK_BYTES / width
+    alone = CHUNKS * SNAPSHOT_CHUNK_BYTES / bytes_per_second
     summary = f"{sent} chunks for {CHUNKS}, {now - started_at:.1f} s for {alone:.1f} s alone"
     print(summary)
     assert sent <= 1.5 * CHUNKS, summary
