--- a/traystall/control/leader.py
+++ b/traystall/control/leader.py
@@ -64,7 +64,7 @@
             while not call.done():
                 await asyncio.wait({call}, timeout=_REVIEW_INTERVAL_SECONDS)
                 if not call.done() and self._node.leader_address() not in ("", address):
-                    raise RpcUnavailable(f"{address} is no longer the leader.")
+                    raise RpcUnavailable(f"{address} does not lead any more.")
             return call.result()
         finally:
             call.cancel()
