--- a/tests/benchmarks/test_account.py
+++ b/tests/benchmarks/test_account.py
@@ -1,4 +1,4 @@
-"""The account of a day adds up its report and reads calls and refusals from the logs."""
+"""The account of a day combines its report with calls and refusals from the logs."""
 
 import json
 
@@ -32,7 +32,7 @@
 ]
 
 
-def test_lines_that_are_no_records_are_passed_over():
+def test_lines_without_a_record_are_skipped():
     assert len(list(decisions(LOG))) == 9
 
 
@@ -43,11 +43,11 @@
     assert fill.partial_in_a_crowd() == 1
 
 
-def test_refusals_tell_first_tries_from_those_that_came_back():
+def test_refusals_separate_first_attempts_from_retries():
     assert refusals(list(decisions(LOG))) == {("r", False): 1, ("r", True): 2}
 
 
-def test_times_of_stages_say_what_was_waited_called_and_handed_over():
+def test_stage_times_have_queue_call_and_hand_over():
     times = times_of_stages(list(decisions(LOG)))
     assert times.keys() == {("r", 0), ("r", 1)}
     assert times["r", 0].seconds == [300, 400]
--- a/tests/benchmarks/test_compare.py
+++ b/tests/benchmarks/test_compare.py
@@ -1,4 +1,4 @@
-"""The comparison reads reports, pairs plays, and tells differences from noise."""
+"""The comparison reads reports, pairs runs, and separates differences from noise."""
 
 from pathlib import Path
 
@@ -37,12 +37,12 @@
     return Played(Play(side, tmp_path, day, seed), report(tmp_path, **changes))
 
 
-def test_a_report_tells_what_was_lost_and_to_what(tmp_path):
+def test_a_report_lists_losses_by_cause(tmp_path):
     losses = report(tmp_path).losses()
     assert losses == {"whole day": pytest.approx(0.08), "GB between zones": 0.02}
 
 
-def test_a_report_that_is_missing_or_no_report_is_an_error(tmp_path):
+def test_a_missing_or_malformed_report_is_an_error(tmp_path):
     with pytest.raises(OSError):
         read_report(tmp_path / "none.json")
     (tmp_path / "bad.json").write_text("{}")
@@ -59,7 +59,7 @@
         ([0.40], [0.90], "not told apart"),
     ],
 )
-def test_differences_are_told_from_noise(old, new, verdict):
+def test_differences_are_separated_from_noise(old, new, verdict):
     assert difference(old, new).verdict() == verdict
 
 
@@ -74,7 +74,7 @@
         difference([1.0], [1.0, 2.0])
 
 
-def test_only_plays_that_both_sides_have_finished_are_paired(tmp_path):
+def test_only_runs_that_both_sides_have_finished_are_paired(tmp_path):
     plays = [
         played(tmp_path, "old", 1),
         played(tmp_path, "new", 1, G=0.5),
@@ -85,7 +85,7 @@
     assert [(old.report.worth, new.report.worth) for old, new in pairs] == [(0.41, 0.5)]
 
 
-def test_causes_come_with_the_largest_first_also_where_one_side_has_none(tmp_path):
+def test_causes_are_sorted_by_size_even_if_one_side_has_none(tmp_path):
     pairs = [
         (
             played(tmp_path, "old", seed),
@@ -105,7 +105,7 @@
     return Bench(program, Path("site.toml"), tmp_path, "a test")
 
 
-def test_a_play_that_the_bench_gives_up_is_told_and_the_others_go_on(tmp_path):
+def test_a_failed_run_is_reported_and_the_others_continue(tmp_path):
     source = tmp_path / "source.json"
     source.write_bytes(msgspec.json.encode(BODY))
     # The arguments: run SITE DAY --seed N --report FILE --why TEXT.
--- a/tests/benchmarks/test_in_force.py
+++ b/tests/benchmarks/test_in_force.py
@@ -1,4 +1,4 @@
-"""What a recorded day says of how soon revisions came into force."""
+"""Recorded days give the time until revisions are in force."""
 
 import pytest
 
@@ -38,4 +38,4 @@
     events += [accepted(20.0, 6), taken(20.3, 6)]
     found = seconds_to_force(events)
     assert found[-1] == pytest.approx(0.3)
-    assert len(found) == 2, "what it held before it was called started is not counted again"
+    assert len(found) == 2, "a revision held before the start is not counted again"
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Pass over tests that are known to fail, and say so: KNOWN-RED.txt at the root lists them."""
+"""Skip and report the tests that KNOWN-RED.txt at the root lists as known to fail."""
 
 import pytest
 
@@ -36,8 +36,8 @@
 def pytest_terminal_summary(terminalreporter, config):
     listed = config.stash[_LISTED]
     if listed:
-        passed_over = "run all the same" if config.getoption(_OPTION) else "not run"
-        terminalreporter.section(f"known to fail, {passed_over}")
+        outcome = "run on request" if config.getoption(_OPTION) else "not run"
+        terminalreporter.section(f"known to fail, {outcome}")
         for line in listed:
             terminalreporter.line(f"{line.test}: {line.seen} ({line.issue}; {line.command})")
         passed = terminalreporter.stats.get("passed", ())
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -1,4 +1,4 @@
-"""Start a small cluster of real processes on loopback, and stop just those again."""
+"""A small cluster of real processes on the loopback interface."""
 
 import contextlib
 import json
@@ -20,13 +20,13 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 CLUSTER = "test"
-# A loopback address of this process alone, so that runs side by side share no ports.
+# A loopback address that depends on the process id, so that parallel test runs share no ports.
 HOST = f"127.{10 + os.getpid() % 200}.{os.getpid() // 200 % 250}.1"
 READY_SECONDS = 40.0
 
 
 def _port_numbers():
-    """Yield ports below the range from which the system takes those of outgoing connections."""
+    """Yield ports below the range that the system assigns to outgoing connections."""
     first, last = 10_000, 32_000
     port = first + os.getpid() * 97 % (last - first)
     while True:
@@ -38,7 +38,7 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that were free a moment ago and were not handed out before."""
+    """Return ports that are free at the time of the call and were not handed out before."""
     found: list[int] = []
     while len(found) < count:
         port = next(_ports)
@@ -49,7 +49,7 @@
 
 
 def wait_until(condition, what: str, seconds: float = READY_SECONDS):
-    """Return the first true value of `condition()`; fail after a generous bound."""
+    """Return the first true value of `condition()`; fail after `seconds`."""
     deadline = time.monotonic() + seconds
     while time.monotonic() < deadline:
         value = condition()
@@ -71,7 +71,7 @@
 
 
 def post(address: str, path: str, body, headers=None, seconds: float = 30.0):
-    """Return (status, headers, document) of a POST; status 0 if no whole answer came."""
+    """Return (status, headers, document) of a POST; status 0 without a complete response."""
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
     request = urllib.request.Request(f"http://{address}{path}", data, headers or {})
     try:
@@ -84,7 +84,7 @@
 
 
 class Process:
-    """Hold one started process."""
+    """Run one child process."""
 
     def __init__(self, name, arguments, log_path, environ=None):
         self.name = name
@@ -94,7 +94,7 @@
         self.popen = None
 
     def start(self):
-        """Start, or start again with the same arguments."""
+        """Start the process, or restart it with the same arguments."""
         environ = {k: v for k, v in os.environ.items() if not k.startswith("TRAYSTALL_")}
         with open(self.log_path, "ab") as log:
             self.popen = subprocess.Popen(
@@ -107,17 +107,17 @@
         return self
 
     def kill(self):
-        """End the process at once and wait for it."""
+        """Kill the process and wait until it has ended."""
         self.send(signal.SIGKILL)
         self.popen.wait()
 
     def send(self, number):
-        """Send a signal to this process only."""
+        """Send a signal to the process if it is running."""
         if self.popen is not None and self.popen.poll() is None:
             self.popen.send_signal(number)
 
     def stop(self, seconds=15.0):
-        """Ask the process to stop; return its exit code."""
+        """Send SIGTERM; return the exit code, or None if the process had to be killed."""
         self.send(signal.SIGTERM)
         try:
             return self.popen.wait(seconds)
@@ -126,12 +126,12 @@
             return None
 
     def log(self):
-        """Return what the process has logged."""
+        """Return the contents of the log file."""
         return Path(self.log_path).read_text()
 
 
 class Cluster:
-    """Run control daemons, gateways and fakes for one sample bundle."""
+    """Run control daemons, gateways and fake targets for one sample bundle."""
 
     def __init__(
         self,
@@ -170,10 +170,10 @@
         self._make_gateways(gateways_per_place)
         self.bundle = self.write_bundle(1)
 
-    # ---- life ----
+    # ---- lifecycle ----
 
     def start(self, apply=True):
-        """Start everything, apply the bundle, and return once every gateway is ready."""
+        """Start all processes, apply the bundle, and return once every gateway is ready."""
         for process in [*self.fakes.values(), *self.controls, *self.gateways]:
             process.start()
         for address in self.targets.values():
@@ -191,7 +191,7 @@
             wait_until(lambda a=address: get(a, "/readyz")[0] == 200, f"gateway {address}")
 
     def close(self):
-        """End what was started and remove its files."""
+        """Kill all processes of the cluster and remove their files."""
         for process in [*self.gateways, *self.controls, *self.fakes.values()]:
             if process.popen is not None:
                 process.send(signal.SIGCONT)
@@ -208,10 +208,10 @@
     def __exit__(self, *_):
         self.close()
 
-    # ---- use ----
+    # ---- operations ----
 
     def cli(self, *words, seconds=60):
-        """Run the client; return its exit code, output and errors."""
+        """Run the command line client; return its exit code, output and errors."""
         done = subprocess.run(
             [sys.executable, "-m", "traystall.cli.main", *map(str, words)],
             capture_output=True,
@@ -232,7 +232,7 @@
         return json.loads(output) if code == 0 else None
 
     def leader(self):
-        """Return the position of the control daemon that leads, as a one-item list, or None."""
+        """Return the index of the leading control daemon as a one-item list, or None."""
         document = self.status()
         if (
             not document
@@ -257,12 +257,12 @@
         )
 
     def set_mode(self, target, **mode):
-        """Make a fake misbehave."""
+        """Set the failure mode of a fake target."""
         status, _, _ = post(self.targets[target], "/test/mode", mode)
         assert status == 200
 
     def records(self, target):
-        """Return what a fake has recorded."""
+        """Return the records of a fake target."""
         status, text = get(self.targets[target], "/test/records")
         return json.loads(text) if status == 200 else None
 
@@ -271,7 +271,7 @@
         return [row["name"] for row in self.documents["targets"] if row["pool"] == pool]
 
     def runs(self, pool):
-        """Return every run that the fakes of a pool recorded."""
+        """Return all runs that the fake targets of a pool recorded."""
         found = []
         for name in self.pool(pool):
             with contextlib.suppress(TypeError):
@@ -289,7 +289,7 @@
         (folder / "bundle.yaml").write_text(yaml.safe_dump(documents))
         return str(folder)
 
-    # ---- making ----
+    # ---- construction ----
 
     def _read(self, bundle):
         documents = {}
@@ -333,7 +333,7 @@
             )
 
     def make_control(self, name, place, address, http_address, initial):
-        """Return a control daemon, not started."""
+        """Return a control daemon that is not started yet."""
         listen = address
         if self._relay is not None:
             listen = f"{HOST}:{free_ports(1)[0]}"
--- a/tests/support/control_group.py
+++ b/tests/support/control_group.py
@@ -1,4 +1,4 @@
-"""Control daemons in this process on free ports, which can be killed, wiped and replaced."""
+"""Control daemons in the test process that can be killed, wiped and replaced."""
 
 import asyncio
 import shutil
@@ -24,21 +24,22 @@
 
 
 def free_address():
-    """Return a loopback address that was free a moment ago and was not handed out before.
+    """Return a loopback address that is free and was not handed out before.
 
-    Its port is none that the system gives to outgoing connections: beside other work one of those
-    took the port between this call and the daemon's, which then could not listen there.
+    The port is outside the range that the system assigns to outgoing connections. On a busy machine
+    an outgoing connection took a port of that range between this call and the daemon's start, and
+    the daemon could not listen on it.
     """
     return f"{HOST}:{free_ports(1)[0]}"
 
 
 class ControlGroup:
-    """Hold daemons by name; `founders` form the group, others join it."""
+    """Run control daemons by name; `founders` form the group, other daemons join it."""
 
     def __init__(self, root, founders=("a", "b", "c")):
         self._root = root
         self.addresses = {name: free_address() for name in founders}
-        # Where daemons listen that advertise another address: a relay stands there.
+        # Listening addresses of daemons that advertise the address of a relay instead.
         self.listening = {}
         self._founders = tuple(founders)
         self.daemons = {}
@@ -46,7 +47,7 @@
         self._member_delay = 0.0
 
     async def start(self, name, founding=False):
-        """Start a daemon on its folder, which is empty unless it ran before."""
+        """Start a daemon on its data folder, which is empty on the first start."""
         address = self.addresses.setdefault(name, free_address())
         values = {
             "cluster": "test",
@@ -72,18 +73,18 @@
         return daemon
 
     def _known(self, name):
-        """Return whom a daemon may ask for admission: the founders and all that run now."""
+        """Return the addresses for a join request: the founders and all running daemons."""
         names = {*self._founders, *self.daemons} - {name}
         return sorted(self.addresses[known] for known in names)
 
     def delay_member_changes(self, seconds):
-        """Send entries that change the members so much later, from all daemons."""
+        """Delay the sending of entries that change the member set, on all daemons."""
         self._member_delay = seconds
         for daemon in self.daemons.values():
             _delay_member_changes(daemon.node, seconds)
 
     async def stop(self, name, wipe=False):
-        """Stop a daemon without a word to the others; with `wipe` its disk is lost too."""
+        """Stop a daemon without notifying the others; `wipe` also deletes its data folder."""
         daemon = self.daemons.pop(name)
         await daemon.stop()
         _raise_failure(daemon)
@@ -95,13 +96,13 @@
             await self.stop(name)
 
     def leader(self):
-        """Return the daemon that leads with a lease, or None."""
+        """Return the daemon that leads and holds a lease, or None."""
         now = clock.monotonic()
         leading = [d for d in self.daemons.values() if d.node.replica.holds_lease(now)]
         return leading[0] if leading else None
 
     def voters(self):
-        """Return the names of the voters that the leader has committed."""
+        """Return the names of the voters in the leader's committed member set."""
         return {identity.split("/")[0] for identity in self._voting_identities()}
 
     def _voting_identities(self):
@@ -111,7 +112,7 @@
         return {m.identity for m in leader.node.replica.committed_members if m.voter}
 
     def live_voters(self):
-        """Return the names of daemons that run and vote under their present identity."""
+        """Return the names of running daemons that vote under their current identity."""
         voting = self._voting_identities()
         return {
             name for name, daemon in self.daemons.items() if daemon.node.replica.identity in voting
@@ -125,12 +126,12 @@
                 await asyncio.sleep(0.02)
 
     def raise_failure(self):
-        """Raise what ended a daemon: its process would be gone, not merely slow."""
+        """Raise the failure of a daemon whose background task has ended."""
         for daemon in self.daemons.values():
             _raise_failure(daemon)
 
     async def lead_with(self, daemon):
-        """Return once `daemon` leads with a lease; it must be a voter that is caught up."""
+        """Return once `daemon` leads with a lease; it must be a voter with a complete log."""
         identity = daemon.node.replica.identity
         while self.leader() is not daemon:
             leader = self.leader()
@@ -151,7 +152,7 @@
         return await self.daemons[name].leader.call(request, seconds)
 
     async def read(self, name):
-        """Return number and content as one daemon tells them, or None if it can't be sure."""
+        """Return the number and content from one daemon, or None if its read fails."""
         try:
             reply = await self.daemons[name].leader.call(ReadRequest(sender="test"), 1.0)
         except RpcError:
--- a/tests/support/crowd.py
+++ b/tests/support/crowd.py
@@ -1,9 +1,10 @@
-"""Replay a crowd of staged requests through pools with room for results.
+"""Simulate an overload of staged requests on pools with limited result memory.
 
-Only time is simulated: what waits is ordered and batched by `batching.take_batch`, who may begin
-is decided by the admission book, as in the daemon. One cell, one data centre. A call takes as long
-as its profile says; the pieces of one stage end together; what a request holds is given up when its
-last reader has read it. Callers heed Retry-After once, repeaters come back at once.
+Only time is simulated: `batching.select_batch` orders and batches the queue and the admission
+controller decides which requests start, as in the daemon. There is one cell in one data centre. A
+call takes as long as its batch profile says; all pieces of one stage finish together; a result is
+freed when its last reader has read it. Callers honour Retry-After once, impatient callers retry
+at once.
 """
 
 import heapq
@@ -20,15 +21,15 @@
 from traystall.passthrough.stages.pace import next_call_time
 from traystall.routes.models import BatchProfile, Pool, Route, Split, StagePlan
 
-# How often a request that waits to be let in asks again, and how long it waits at the most, in
-# seconds and as a part of its aim: as in the batcher.
+# Interval at which a request that waits for admission asks again, in seconds, and its longest wait
+# as a ratio of the route's `aim`. Both are those of the batcher.
 ASK_SECONDS = 0.05
 PATIENCE_PART = 0.2
-# From one stage's end to the next one's arrival in its queue, in seconds: two hops each way.
+# Time from the end of a stage until the next stage is queued, in seconds: two hops each way.
 HAND_OVER_SECONDS = 0.012
-# A gateway that batches is missed after so long, in seconds.
+# Time until other gateways detect the loss of a batching gateway, in seconds.
 MISSED_SECONDS = 0.5
-# Repeaters come back so often, after so many seconds.
+# Number of immediate retries of an impatient caller, and the delay between them.
 REPEATS = 3
 REPEAT_SECONDS = 0.05
 
@@ -40,9 +41,10 @@
 
 
 class CrowdKind(msgspec.Struct, frozen=True):
-    """Describe one kind: its route, requests a second, and pieces of each stage as (mean, share).
-
-    `engine_seconds` is what it needs after its stages.
+    """Describe a kind of request: its route, requests a second, and its pieces.
+    `pieces` has (mean, share of requests with the stage) for each stage. `engine_seconds` is the
+    time that the request needs after its stages.
+        that the request needs after its stages.
     """
 
     route: Route
@@ -52,7 +54,7 @@
     deadline: float = 6.0
 
     def draw(self, chance: random.Random) -> tuple[int, ...]:
-        """Return the pieces of one request; at least one in all."""
+        """Return the pieces of one request for each stage; at least one in all."""
         counts = [
             max(1, round(chance.gauss(mean, mean * 0.3))) if chance.random() < share else 0
             for mean, share in self.pieces
@@ -61,7 +63,7 @@
 
 
 class Fate(msgspec.Struct):
-    """Tell what became of one request, as its caller sees it over all its tries."""
+    """Hold the outcome of one request over all attempts, as its caller sees it."""
 
     kind: str
     customer: str
@@ -71,7 +73,7 @@
 
 
 class CrowdWorker(msgspec.Struct, eq=False):
-    """Hold one target: when it is free, how slow it is, the bytes that it holds."""
+    """Hold the state of one target: when it is free, its slowdown, and the bytes it holds."""
 
     free_at: float = 0.0
     ratio: float = 1.0
@@ -80,7 +82,7 @@
 
 
 class CrowdPool:
-    """Hold one pool: its targets and what waits for them."""
+    """Hold one pool: its targets and its queue."""
 
     def __init__(self, targets: int, profile: BatchProfile):
         self.workers = [CrowdWorker() for _ in range(targets)]
@@ -92,12 +94,12 @@
         self.timer = float("-inf")
 
     def rate(self, now: float) -> float:
-        """Return the pieces a second that its targets make with full calls."""
+        """Return the pieces a second that the targets run with full calls."""
         full = self.profile.batch / self.profile.seconds(self.profile.batch)
         return full * sum(1 / w.ratio for w in self.workers if w.free_at < now + 2.0)
 
     def load(self, now: float) -> PoolLoad:
-        """Return what admission is told of this pool."""
+        """Return the load of the pool as reported to admission."""
 
         def waiting(priority, due=float("inf")):
             return sum(1 for job in self.waiting if job.priority <= priority and job.due <= due)
@@ -122,7 +124,7 @@
 
 
 class Crowd:
-    """Play arrivals of some kinds and customers by a seed."""
+    """Simulate arrivals of some kinds and customers from a seed."""
 
     def __init__(self, pools, kinds, seed=1, shared=None, customers=16, skew=1.2):
         self.pools: dict[str, CrowdPool] = pools
@@ -142,9 +144,9 @@
         self._jobs: dict[str, _Request] = {}
 
     def run(self, seconds: float, factor, faults=()) -> list[Fate]:
-        """Play so many seconds; `factor(kind, time)` is how much more than usual comes.
+        """Simulate `seconds`; `factor(kind, time)` scales the usual arrival rate.
 
-        `faults` are pairs of a time and what is called with this crowd and that time.
+        `faults` are pairs of a time and a callable that is called with this crowd and that time.
         """
         for kind in self.kinds:
             time = 0.0
@@ -161,13 +163,13 @@
         return self.fates
 
     def at(self, time, step):
-        """Call `step(time)` then."""
+        """Schedule `step(time)`."""
         heapq.heappush(self._events, (time, next(self._order), step))
 
     # ---- faults ----
 
     def crash(self, pool: str, count: int, seconds: float):
-        """Return a fault that ends targets of a pool for a while, with what they make and hold."""
+        """Return a fault that ends targets of a pool for a while and loses their results."""
 
         def fault(now):
             for worker in self.pools[pool].workers[:count]:
@@ -186,7 +188,7 @@
         return fault
 
     def lose_batcher(self, _, now):
-        """Lose what the batching gateway knows: who waits asks another one anew."""
+        """Lose the state of the batching gateway: waiting requests ask another gateway anew."""
         waits = self.book.waits(now)
         self.book = AdmissionController()
         self.book.merge_peer_waits(waits, 0.2, now)
@@ -197,7 +199,7 @@
                 request.left = 0
                 self.at(now + MISSED_SECONDS, lambda at, r=request: self._admit(r, at))
 
-    # ---- a request ----
+    # ---- requests ----
 
     def _arrive(self, kind, now):
         customer = self._random.choices(self._customers, self._weights)[0]
@@ -237,7 +239,7 @@
             self.at(back, come_back)
 
     def _admit(self, request, now):
-        """Ask the book; whoever may, or has begun, asks for the next stage."""
+        """Request admission; an admitted or already started request asks for its next stage."""
         kind = request.kind
         loads = {s.pool: self.pools[s.pool].load(now) for s in kind.route.stages}
         left = request.since + kind.route.aim - now - kind.engine_seconds
@@ -347,7 +349,7 @@
             )
 
     def _is_kept_back(self, pool, now):
-        """Return whether the next call waits for an even pace; look again when it may begin."""
+        """Return whether pacing delays the next call; if so, schedule a check at its start."""
         if not self.shared.intersection({name for name, p in self.pools.items() if p is pool}):
             return False
         waiting, targets = len(pool.waiting), len(pool.workers)
@@ -392,7 +394,7 @@
 
 
 def read_out(fates: list[Fate], by: str = "kind") -> dict[str, Counter[str]]:
-    """Return how the requests of each kind, or of each customer, ended."""
+    """Return the outcomes of the requests by kind, or by customer."""
     found: dict[str, Counter[str]] = {}
     for fate in fates:
         found.setdefault(getattr(fate, by), Counter())[fate.outcome] += 1
@@ -400,12 +402,12 @@
 
 
 def served_part(counts: Counter[str]) -> float:
-    """Return the part that was answered in time."""
+    """Return the ratio of requests that were answered in time."""
     return counts[IN_TIME] / max(1, counts.total())
 
 
 def chain(name: str, aim: float, *stages: tuple[str, int]) -> Route:
-    """Return a route whose stages, as (pool, bytes of a result), read one another in order."""
+    """Return a route of stages, as (pool, bytes of a result), where each reads the one before."""
     plans = tuple(
         StagePlan(pool, (i - 1,) if i else (), size) for i, (pool, size) in enumerate(stages)
     )
@@ -413,7 +415,7 @@
 
 
 def patient_and_impatient() -> tuple[dict[str, CrowdPool], list[CrowdKind]]:
-    """Return three pools that a patient kind fills, and an impatient one with the same chain."""
+    """Return three pools, a kind with a long `aim` that fills them, and one with a short `aim`."""
     pools = {
         "portal": CrowdPool(9, BatchProfile(1, 2, 20, 0.2, 0.0086, 48e6, 4.0)),
         "meter": CrowdPool(8, BatchProfile(1, 2, 47, 0.2, 0.0036, 6.298e6, 4.0)),
@@ -429,7 +431,7 @@
 
 
 def alike_in_patience() -> tuple[dict[str, CrowdPool], list[CrowdKind]]:
-    """Return three pools and two kinds with one chain whose aims are nearly the same."""
+    """Return three pools and two kinds with one chain and nearly the same `aim`."""
     pools = {
         "registry": CrowdPool(10, BatchProfile(1, 2, 17, 0.2, 0.01, 37.8e6, 4.0)),
         "notices": CrowdPool(8, BatchProfile(1, 2, 60, 0.2, 0.0029, 7.78e6, 4.0)),
--- a/tests/support/demo.py
+++ b/tests/support/demo.py
@@ -1,4 +1,4 @@
-"""Show the whole product once: start it, apply both bundles, send requests, stop it."""
+"""Demonstrate the product: start a cluster for each bundle, send requests, stop it."""
 
 from tests.support.cluster import Cluster
 
@@ -15,14 +15,14 @@
 
 
 def main():
-    """Run the examples of both users."""
+    """Run the example requests of both bundles."""
     for bundle, examples in EXAMPLES.items():
         print(f"\n=== {bundle}: three control daemons, three gateways, fake targets ===")
         with Cluster(bundle) as cluster:
             print(f"bundle number {cluster.status()['number']} is in force everywhere")
             for pipeline, customer, text in examples:
                 _show(cluster, pipeline, customer, text)
-    print("\nEverything that was started is stopped.")
+    print("\nAll processes are stopped.")
 
 
 def _show(cluster, pipeline, customer, text):
--- a/tests/support/directory_site.py
+++ b/tests/support/directory_site.py
@@ -1,8 +1,8 @@
-"""A site of gateways that watch one control daemon, to count what the directory costs them.
+"""Gateways that watch one control daemon, to measure the cost of the gateway directory.
 
-The gateways are the product's own followers and the daemon is the product's own
-`Subscribers`; between them every message is encoded and decoded, but no socket
-is used, so that nothing but the directory varies.
+The gateways are the product's own followers and the daemon is the product's own `Subscribers`.
+Every message between them is encoded and decoded, but no socket is used, so that only the cost of
+the directory varies.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
 
 
 class Catalog:
-    """Hold a configuration of which only the number matters; every delta of it is empty."""
+    """Hold a configuration of which only the number matters; each of its deltas is empty."""
 
     def __init__(self):
         self.number = 0
@@ -33,12 +33,12 @@
         self.entities: dict[str, bytes] = {}
 
     def delta_since(self, digest: bytes) -> Delta:
-        """Return that nothing has changed."""
+        """Return an empty delta."""
         return Delta(digest, self.digest, {}, [])
 
 
 class ControlNode:
-    """Stand for the node of a control daemon: a state, no group, wakes on demand."""
+    """Replace the node of a control daemon: a state without a group, notified on demand."""
 
     def __init__(self):
         self.state = SimpleNamespace(
@@ -54,13 +54,13 @@
         return True
 
     def applied(self) -> None:
-        """Tell whoever listens that the state has moved."""
+        """Notify all listeners that the state has changed."""
         for callback in self.on_applied:
             callback()
 
 
 class SiteGateway:
-    """Run one gateway's follower; `restart` replaces it by a new life of the same instance."""
+    """Run the follower of one gateway; `restart` starts a new incarnation of the same instance."""
 
     def __init__(self, site: "Site", number: int):
         self.instance = f"gateway-{number:03}"
@@ -76,11 +76,11 @@
 
     @property
     def identity(self) -> str:
-        """Return the name of the present life."""
+        """Return the identity of the current incarnation."""
         return f"{self.instance}/{self._life:020x}"
 
     def start(self) -> None:
-        """Begin a new life."""
+        """Start a new incarnation."""
         self._life += 1
         self.state = "serving"
         self._started_at = clock.monotonic()
@@ -88,30 +88,30 @@
         self._task = asyncio.create_task(self.follower.follow_forever())
 
     async def stop(self) -> None:
-        """End this life at once."""
+        """Stop the current incarnation at once."""
         self._task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await self._task
 
     def raise_failure(self) -> None:
-        """Raise what ended this life by itself, if anything did."""
+        """Raise the error that ended the current incarnation, if any."""
         if self._task.done() and not self._task.cancelled():
             self._task.result()
 
     async def restart(self, drain_seconds: float) -> None:
-        """Drain, end, and begin again."""
+        """Drain, stop, and start again."""
         self.state = "draining"
         await asyncio.sleep(drain_seconds)
         await self.stop()
         self.start()
 
     async def call(self, request: WatchRequest, timeout: float) -> WatchReply:
-        """Watch the control daemon as over a link; count what comes back, in bytes."""
+        """Send a watch to the control daemon as over a link; count the reply in bytes."""
         try:
             async with asyncio.timeout(timeout):
                 reply = await self._site.subscribers.watch(decode(WatchRequest, encode(request)))
         except TimeoutError as error:
-            # As a link does: any other error would end the follower.
+            # A link raises this error too; any other error would end the follower.
             raise RpcTimeout(f"No reply within {timeout:.2f} s.") from error
         began = time.perf_counter()
         body = encode(reply)
@@ -138,7 +138,7 @@
 
 
 class Site:
-    """Run `count` gateways; `control_seconds` is spent on making and encoding replies."""
+    """Run `count` gateways; `control_seconds` is spent on building and encoding replies."""
 
     def __init__(self, count: int):
         self.node = ControlNode()
@@ -150,7 +150,7 @@
     async def settle(self, seconds: float) -> None:
         """Wait until every gateway lists all; raise TimeoutError if that takes longer.
 
-        Raise at once what ended a gateway: such a one is not slow.
+        Raise the error of a gateway that has ended at once, since waiting would not help.
         """
         wanted = {gateway.identity for gateway in self.gateways}
         async with asyncio.timeout(seconds):
@@ -160,14 +160,14 @@
                 await asyncio.sleep(0.05)
 
     async def restart_in_turn(self, count: int, every: float, drain_seconds: float) -> None:
-        """Restart the first `count` gateways, one each `every` seconds; return when all run."""
+        """Restart the first `count` gateways, one every `every` seconds; return when all run."""
         async with asyncio.TaskGroup() as group:
             for gateway in self.gateways[:count]:
                 group.create_task(gateway.restart(drain_seconds))
                 await asyncio.sleep(every)
 
     async def stop(self) -> None:
-        """End every gateway."""
+        """Stop every gateway."""
         for gateway in self.gateways:
             await gateway.stop()
 
@@ -189,7 +189,7 @@
 
 
 class _Links:
-    """Lead every address to the one control daemon."""
+    """Connect every address to the only control daemon."""
 
     def __init__(self, gateway):
         self._gateway = gateway
--- a/tests/support/emulator/__init__.py
+++ b/tests/support/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Targets, an operator and callers of a pass-through gateway, with faults as switches."""
+"""An emulator of targets, operators and callers of a pass-through gateway, with faults."""
--- a/tests/support/emulator/gateway.py
+++ b/tests/support/emulator/gateway.py
@@ -1,4 +1,4 @@
-"""One pass-through gateway in this process, over runners, without control daemons."""
+"""One pass-through gateway in the test process, over emulated targets, without control daemons."""
 
 import asyncio
 
@@ -66,7 +66,7 @@
     stages=(),
     result_lifetime=0.0,
 ):
-    """Return routes of every kind: /once/, /again/, /events/ and /staged/."""
+    """Return routes of all kinds: /once/, /again/, /events/ and /staged/."""
     plain = {
         "host": HOST,
         "splits": (Split("plain"),),
@@ -103,7 +103,7 @@
 
 
 class EmulatedGateway:
-    """Run a gateway's front on a free port; use as an asynchronous context manager."""
+    """Run a gateway's HTTP server on a free port; use it as an asynchronous context manager."""
 
     def __init__(self, routing_table, runners, names=None, budget=None, leader=None):
         self.names = names or HeaderNames()
@@ -138,7 +138,7 @@
         self.context.board.merge(report, clock.monotonic())
 
     def evacuate(self, *data_centres):
-        """Take in that just these data centres are evacuated from now on."""
+        """Declare that exactly these data centres are evacuated from now on."""
         held = self.context.follower.evacuations
         held.take(Evacuated(version=held.version + 1, data_centres=list(data_centres)))
 
@@ -162,7 +162,7 @@
         await self.server.close(0.2)
 
     async def call(self, path="/once/x", body=b"hello", key=KEY, method="POST", **headers):
-        """Return status, headers and body of one request's answer."""
+        """Return status, headers and body of the response to one request."""
         names = self.names
         sent = {"Host": HOST, names.request_id: headers.pop("request_id", new_id())}
         if key:
@@ -174,7 +174,7 @@
 
 
 def run(coroutine):
-    """Run a test's coroutine, bounded."""
+    """Run the coroutine of a test with a timeout."""
 
     async def bounded():
         async with asyncio.timeout(20):
--- a/tests/support/emulator/runner.py
+++ b/tests/support/emulator/runner.py
@@ -1,7 +1,7 @@
-"""A target at the level of bytes: plain services, stages with room, engines with events.
+"""An emulated target on plain sockets: services, stages with result memory, and event streams.
 
-Faults are switches by name; each is taken once, in order, by the next request.
-What it ran is kept in `runs`, what it rejected in `rejected`.
+Faults are named and applied in order, each to one request. The requests that ran are kept in
+`runs`, the rejected ones in `rejected`.
 """
 
 import asyncio
@@ -35,7 +35,7 @@
 
 
 class Runner:
-    """Serve on a free port of the loopback."""
+    """Serve one target on a free loopback port."""
 
     def __init__(self, identity="r-1", names=None, faults=(), events=0, batch=0, room=10**9):
         self.identity = identity
@@ -44,10 +44,10 @@
         self.events = events
         self.batch = batch
         self.room = room
-        # What a report counts for each result.
+        # Bytes that a report counts for each result.
         self.result_bytes = 10
         self.loses = 0
-        # So many calls that give results up are reset unread.
+        # Number of calls that free results and are reset before the target reads them.
         self.resets_frees = 0
         self.call_seconds = 0.0
         self.event_seconds = 0.0
@@ -59,24 +59,24 @@
         self.freed = []
         self.dropped = 0
         self.connections = 0
-        # A request whose body holds this ends the target as soon as it begins to run.
+        # A request with this text in its body ends the target as soon as it starts to run.
         self.ends_on = b""
         self.ends = 0
         self.is_up = False
-        # The next requests are turned away, each with one of these as its Retry-After; whether
-        # such an answer also has the mark that the request has not run.
+        # Retry-After values: each of the next requests is rejected with one of them. The flag tells
+        # whether the response also states that the request has not run.
         self.rests = deque()
         self.rests_marked = True
-        # When it has asked for rest (monotonic seconds) and for how long, and when each request
-        # has reached it.
+        # Times of the requested backoffs (monotonic seconds) with their lengths, and the arrival
+        # time of each request.
         self.asked_at = []
         self.asked_for = []
         self.arrivals = []
-        # Whether all its answers say that it leaves, and when the first one did.
+        # Whether all responses state that the target is leaving, and the time of the first one.
         self.leaves = False
         self.left_at = None
-        # What all its answers name as the requests a second that it takes from all gateways, None
-        # while they name nothing, and when the first one did.
+        # Limit that all responses announce, in requests a second from all gateways together (None:
+        # no limit is announced), and the time of the first announcement.
         self.limit = None
         self.named_at = None
         self.address = ""
@@ -91,7 +91,7 @@
         return self
 
     async def start_again(self, identity=None):
-        """Start a new life at the address of the last one, under its name or another."""
+        """Start a new incarnation at the last address, under the same identity or another."""
         self.identity = identity or self.identity
         host, _, port = self.address.rpartition(":")
         self._server = await asyncio.start_server(self._serve, host, int(port))
@@ -101,7 +101,7 @@
         self.end()
 
     def end(self):
-        """End at once, as a process that is killed: nothing listens, every connection breaks."""
+        """End at once like a killed process: the port closes and every connection breaks."""
         self.is_up = False
         self._server.close()
         for writer in list(self._writers):
@@ -171,18 +171,21 @@
         return {"method": method, "path": path, "headers": headers, "raw": raw, "body": body}
 
     def reached_within(self, begin, end):
-        """Return the paths of what reached it in a time after it asked for rest, in seconds."""
+        """Return the paths of the requests that arrived between `begin` and `end`.
+
+        Both are in seconds after the first time that the target requested a backoff.
+        """
         asked = self.asked_at[0]
         return [path for at, path in self.arrivals if asked + begin < at < asked + end]
 
     def reached_since_left(self, seconds):
-        """Return the paths of what reached it later than so long after it said that it leaves."""
+        """Return the paths of requests later than `seconds` after the target announced leaving."""
         return [path for at, path in self.arrivals if at > self.left_at + seconds]
 
     def most_within(self, seconds, begin, end=float("inf")):
-        """Return the most requests that reached it in some span of so many seconds.
+        """Return the largest number of requests in any span of `seconds`.
 
-        Only those that came between `begin` and `end` seconds after it first named a limit count.
+        Only requests between `begin` and `end` seconds after the first announced limit count.
         """
         first, last = self.named_at + begin, self.named_at + end
         times = [at for at, _ in self.arrivals if first < at < last]
@@ -346,7 +349,7 @@
 
 
 def _reset(writer):
-    """Send a reset rather than an orderly end."""
+    """Reset the connection instead of closing it in order."""
     import socket
     import struct
 
--- a/tests/support/fake_targets.py
+++ b/tests/support/fake_targets.py
@@ -1,8 +1,8 @@
-"""Small stand-ins for the targets that a test or the demo starts as a program.
+"""Fake targets that a test or the demo starts as a separate program.
 
-One process serves any number of targets, each on its own port. A target keeps
-a record of every run, and `POST /test/mode` makes it slow, failing, silent or
-leaving. Models, times and texts are invented; only the protocol is real.
+One process serves any number of targets, each on its own port. A target records every run, and
+`POST /test/mode` makes it slow, failing, unresponsive or leaving. Models, durations and texts are
+invented; the protocol is the real one.
 """
 
 import asyncio
@@ -27,12 +27,12 @@
 
 _MAX_RECORDS = 200_000
 _MAX_EVENTS = 1000
-# Every so many cache events one is lost, as real engines lose some.
+# One of this many cache events is lost, because real engines lose some.
 _EVENT_GAP = 7
 
 
 class FakeSpec(msgspec.Struct):
-    """Describe one fake target; `seconds` is its time for a call, or for a token."""
+    """Describe one fake target; `seconds` is its duration for a call, or for a token."""
 
     name: str
     kind: str
@@ -46,7 +46,7 @@
 
 
 class Mode(msgspec.Struct):
-    """Say how a fake misbehaves; the defaults behave."""
+    """Hold the failure mode of a fake target; the defaults cause no failure."""
 
     factor: float = 1.0
     load_delay: float = 0.0
@@ -138,19 +138,19 @@
         return web.json_response(document)
 
     async def report_forever(self):
-        """Refresh the published load late, as real engines do."""
+        """Refresh the published load with a delay, as real engines do."""
         while True:
             now = (self.slots.count - self.slots.free, self.slots.waiting)
             await asyncio.sleep(self.mode.load_delay or self.spec.load_delay)
             self.reported = now
 
     async def cache_events(self, request):
-        """Return the prefix-cache events after a number, late and with gaps."""
+        """Return the prefix cache events after a sequence number; some events are missing."""
         after = int(request.query.get("after", "0"))
         return web.json_response({"events": [e for e in self.events if e["sequence"] > after]})
 
     def note_prefix(self, prompt):
-        """Publish that a prefix is cached, unless this event is one that gets lost."""
+        """Publish that a prefix is cached, unless this event is one that is lost."""
         self.event_count += 1
         if self.event_count % _EVENT_GAP:
             prefix = xxhash.xxh64_hexdigest(str(prompt)[:64].encode())
--- a/tests/support/gateway_bench.py
+++ b/tests/support/gateway_bench.py
@@ -1,4 +1,4 @@
-"""One gateway in this process, over raw targets and an in-memory ledger."""
+"""One gateway in the test process with raw targets and an in-memory ledger."""
 
 import asyncio
 import json
@@ -26,7 +26,7 @@
 
 
 class FakeSettings:
-    """Hold the settings that a gateway's parts read."""
+    """Hold the settings that the components of a gateway read."""
 
     instance = "gateway-1"
     data_centre = PLACE
@@ -89,11 +89,11 @@
         self.ledger.release(Release(request.customer, request.key, request.claim_id, self.time))
 
     async def drain(self):
-        """Nothing is pending here."""
+        """Do nothing, since no release is pending here."""
 
 
 class GatewayBench:
-    """Serve one gateway over the given raw targets, as an async context manager."""
+    """Serve one gateway with the given raw targets; an asynchronous context manager."""
 
     def __init__(self, targets, stages, customer=None, deadline=3.0, lookup=""):
         self.lookup = lookup
@@ -148,7 +148,7 @@
                 await target.stop()
 
     def declare(self, rows, number):
-        """Put a configuration in force."""
+        """Put a configuration into force."""
         kinds = {Customer: "customer", Pipeline: "pipeline", Target: "target"}
         encoded = {f"{kinds.get(type(r), 'data_centre')}/{r.name}": pack(r) for r in rows}
         self.rows = rows
@@ -156,7 +156,7 @@
         self.context.on_configuration()
 
     async def ask(self, mark, key="", stream=False, headers=None, **body):
-        """Send one request; return (status, document), for a stream with its tokens."""
+        """Send one request; return (status, document), with the tokens in it for a stream."""
         sent = {"Traystall-Customer": "customer", **(headers or {})}
         if key:
             sent["Idempotency-Key"] = key
--- a/tests/support/group.py
+++ b/tests/support/group.py
@@ -1,8 +1,8 @@
-"""A group of replicas under a seeded schedule of faults, on virtual clocks.
+"""A simulated consensus group under a seeded schedule of faults, on virtual clocks.
 
-The code under test is the daemon's own: the replica, the state machine and the
-gateway's held revision. Only disk, network and clock are fakes. Invariants are
-checked after every step; a breach raises `Breach`.
+The code under test is the daemon's own: the replica, the state machine and the gateway's held
+revision. Only disk, network and clock are fakes. Invariants are checked after every step; a
+violation raises `Breach`.
 """
 
 import random
@@ -17,19 +17,19 @@
 __all__ = ["Breach", "Disk", "Group", "Host"]
 
 STEP_SECONDS = 0.02
-# The first choices of a step are no faults; the density of faults leaves them alone.
+# The first choices of a step are not faults; the fault density does not change their weights.
 _CALM_CHOICES = 9
 
 
 class Group(Faults, Users):
-    """Run hosts, operators, claimants and gateways under one seed."""
+    """Run hosts, operators, claimants and gateways from one seed."""
 
     host_class = Host
 
     def __init__(self, seed, size=3, faults=True):
         self.random = random.Random(seed)
         self.time = 0.0
-        # How fast time goes compared with messages, and how dense faults are, in this schedule.
+        # The passage of time relative to messages, and the density of faults, in this schedule.
         self.pace = self.random.choice((0.15, 0.4, 1.0))
         self.density = self.random.choice((0.5, 1.0, 2.0))
         self.messages = []
@@ -46,7 +46,7 @@
         self.revisions = [HeldRevision() for _ in range(2)]
         self.held_evacuations = [EvacuationCache() for _ in range(2)]
         self.evacuated = {}
-        # The highest version that an operator was told.
+        # The highest version that was acknowledged to an operator.
         self.acknowledged = 0
         self.digests = {}
         self.hook = None
@@ -57,21 +57,21 @@
     # ---- running ----
 
     def run(self, steps):
-        """Take random steps, checking after each."""
+        """Take random steps and check the invariants after each."""
         for _ in range(steps):
             self.step()
 
     def step(self):
         """Take one step and check every invariant."""
         self.steps += 1
-        # Mostly much happens within one lease; now and then time passes.
+        # Most steps are short, so that many fall into one lease; a few let more time pass.
         longest = 0.006 if self.random.random() < 0.93 else 0.4
         self.time += self.random.uniform(0, longest) * self.pace
         self._choose()()
         self.check()
 
     def settle(self):
-        """Heal everything and run calmly until a new command commits everywhere."""
+        """Repair all faults and run without faults until a new command commits everywhere."""
         self.faults = False
         self.cuts.clear()
         for host in self.hosts:
@@ -91,14 +91,16 @@
         raise Breach("the healed group did not commit a new command")
 
     def _check_evacuations_kept(self, leader):
-        """Every order that was acknowledged is in the state of whoever leads in the end."""
+        """Check that every acknowledged order is in the state of the final leader."""
         places = leader.state.evacuations.places
         if places.version < self.acknowledged:
-            raise Breach(f"evacuations fell back to {places.version} of {self.acknowledged}")
+            raise Breach(
+                f"evacuations went back to version {places.version} from {self.acknowledged}"
+            )
         self.note_evacuated(places)
 
     def _calm_round(self):
-        """Let every host tick, sync and get its messages."""
+        """Let every host tick, sync and receive its messages."""
         self.steps += 1
         self.time += STEP_SECONDS
         self._refound()
@@ -111,10 +113,10 @@
         self.check()
 
     def _refound(self):
-        """Found the group again if every replica is empty, as the daemons do."""
+        """Form the group again if every replica is empty, as the daemons do."""
         if all(h.runs and not h.replica.log.last_index for h in self.hosts):
             if not self.committed:
-                # Nothing of an earlier founding was ever committed: this is another group.
+                # Nothing was committed before: this is a new group, which may reuse the old terms.
                 self.leaders.clear()
             founder = self.hosts[0]
             members = [MemberRecord(h.identity, h.name, "", True) for h in self.hosts]
@@ -168,7 +170,7 @@
             self.messages.append((sender.name, message))
 
     def effect(self, kind, host):
-        """Note an effect of the core; a matrix test strikes here."""
+        """Record an effect of the replica; the hook lets a test inject a fault at this point."""
         self.effects.add(kind)
         if self.hook is not None:
             self.hook(kind, host)
@@ -205,10 +207,10 @@
         content = (entry.term, entry.kind, bytes(entry.command or b""))
         known = self.committed.setdefault(entry.index, content)
         if known != content:
-            raise Breach(f"{host.identity} applied another entry at {entry.index}")
+            raise Breach(f"{host.identity} applied a different entry at {entry.index}")
 
     def check(self):
-        """Check what must hold between any two steps."""
+        """Check the invariants that hold between any two steps."""
         holders = [h for h in self.hosts if h.alive and h.replica.holds_lease(h.now)]
         if len(holders) > 1:
             raise Breach("two replicas hold the lease at once")
@@ -230,4 +232,4 @@
             return
         for index in range(log.snapshot_index + 1, newest + 1):
             if log.term_at(index) != self.committed[index][0]:
-                raise Breach(f"the leader of term {host.replica.term} lacks entry {index}")
+                raise Breach(f"the leader of term {host.replica.term} does not have entry {index}")
--- a/tests/support/group_faults.py
+++ b/tests/support/group_faults.py
@@ -1,4 +1,4 @@
-"""Faults of a group's machines, and their repair."""
+"""Faults of the simulated machines of a group, and their repair."""
 
 from traystall.consensus.models import MemberRecord
 from traystall.consensus.quorum import is_majority
@@ -6,7 +6,7 @@
 
 
 class Faults:
-    """Crash, freeze, cut, wipe and repair; a part of `Group`, which holds the state."""
+    """Crash, freeze, cut, wipe and repair hosts; a mixin of `Group`, which holds the state."""
 
     def _any(self, condition):
         found = [host for host in self.hosts if condition(host)]
@@ -25,7 +25,7 @@
                 host.sync(self.random.randint(1, len(host.disk.jobs)))
 
     def crash(self, host=None):
-        """Lose what is not synced."""
+        """Stop a host; writes that are not synced are lost."""
         host = host or self._any(lambda h: h.alive)
         if host is not None:
             host.alive = False
@@ -38,7 +38,7 @@
             host.boot()
 
     def freeze(self, host=None):
-        """Stop a host in silence; its clock goes on."""
+        """Stop a host without closing anything; its clock continues."""
         host = host or self._any(lambda h: h.runs)
         if host is not None:
             host.frozen = True
@@ -49,7 +49,7 @@
             host.frozen = False
 
     def cut(self, host=None):
-        """Cut a host from the others, one way or both."""
+        """Cut the links between a host and the others, in one direction or both."""
         host = host or self.random.choice(self.hosts)
         for other in self.hosts:
             if other is not host:
@@ -65,14 +65,14 @@
         self.cuts.clear()
 
     def wipe(self, host=None):
-        """Lose a disk, if a majority of the voters' disks stays."""
+        """Lose a disk, unless that leaves less than a majority of the voters' disks."""
         host = host or self.random.choice(self.hosts)
         intact = {h.identity for h in self.hosts if h is not host}
         if all(is_majority(intact, voters) for voters in self._possible_voters()):
             host.wipe()
 
     def _possible_voters(self):
-        """Return the voters of every member set that may yet decide."""
+        """Return the voters of every member set that can still make decisions."""
         found = []
         for host in self.hosts:
             log = host.replica.log
@@ -89,7 +89,7 @@
         current = {h.identity: h for h in self.hosts}
         known = {m.identity: m for m in replica.members}
         if self.random.random() < 0.3:
-            # A hasty operator wants all at once; the core must refuse more than one step.
+            # An operator requests all changes at once; the replica must refuse more than one step.
             chosen = self.random.sample(self.hosts, self.random.randint(2, len(self.hosts)))
             self._change(leader, [MemberRecord(h.identity, h.name, "", True) for h in chosen])
             return
--- a/tests/support/group_users.py
+++ b/tests/support/group_users.py
@@ -1,4 +1,4 @@
-"""Users of a group: claimants, racing operators, gateways that watch."""
+"""Simulated users of a group: claimants, concurrent operators, and watching gateways."""
 
 from tests.support.hosts import Breach
 from traystall.catalog.deltas import entities_digest, make_delta
@@ -15,13 +15,13 @@
 
 
 class Users:
-    """Claim, apply and watch; a part of `Group`, which holds the state."""
+    """Claim, apply and watch; a mixin of `Group`, which holds the state."""
 
     def _claim_command(self, claim_id, key):
         return Claim("customer", key, b"f", claim_id, "gateway", "stage", 3600.0, self.time)
 
     def _claim(self):
-        """A gateway claims a key at whoever leads, and dispatches only if it won."""
+        """Claim a key at the leader as a gateway, and dispatch only if the claim won."""
         host = self._any(lambda h: h.runs and h.replica.is_leader)
         if host is None:
             return
@@ -29,7 +29,7 @@
         claim_id = f"claim{self.claims}"
         key = f"key{self.random.randrange(KEYS)}"
         if self.random.random() < 0.5:
-            # One of a few claims that are sent again and again, also long after they ended.
+            # One of a few claims that are resent repeatedly, also long after they ended.
             claim_id = f"resent{self.random.randint(1, 4)}@{key}"
         command = self._claim_command(claim_id, key)
         host.propose(command, lambda result: self._claimed(host, key, claim_id, result))
@@ -38,11 +38,11 @@
         if result.outcome is not ClaimOutcome.WON:
             return
         if claim_id in self.given_back:
-            raise Breach(f"{claim_id} was given back and won {key} again")
+            raise Breach(f"{claim_id} was released and won {key} again")
         if claim_id in self.released:
             return
         if self.random.random() < 0.3 and claim_id not in self.dispatched.values():
-            # Proven not run: the claimant gives it back and never dispatches it.
+            # The run has provably not started: the claimant releases it and never dispatches it.
             self.released.add(claim_id)
             release = Release("customer", key, claim_id, self.time)
             host.propose(release, lambda outcome: self._gave_back(claim_id, outcome))
@@ -54,7 +54,7 @@
             self.given_back.add(claim_id)
 
     def dispatch(self, key, claim_id):
-        """Record a dispatch; a claim's own resend is one dispatch."""
+        """Record a dispatch; the resend of a claim counts as the same dispatch."""
         holder = self.dispatched.setdefault(key, claim_id)
         if holder != claim_id:
             raise Breach(f"{key} was dispatched by {holder} and by {claim_id}")
@@ -62,7 +62,7 @@
             raise Breach(f"{key} was dispatched by the released {claim_id}")
 
     def _apply_bundle(self):
-        """Two operators race: equal numbers, different contents, resends."""
+        """Apply bundles as two concurrent operators: equal numbers, different contents, resends."""
         host = self._any(lambda h: h.runs and h.replica.is_leader)
         if host is None:
             return
@@ -82,10 +82,10 @@
             if winner != content:
                 raise Breach(f"number {number} was accepted with two contents")
         if result.outcome is ApplyOutcome.CONFLICT and self.accepted.get(number) == content:
-            raise Breach(f"number {number} was accepted and then refused")
+            raise Breach(f"number {number} was accepted and then rejected")
 
     def _order_evacuation(self):
-        """Operators evacuate and restore, race and resend, at whoever leads."""
+        """Evacuate and restore data centres at the leader, with concurrent orders and resends."""
         host = self._any(lambda h: h.runs and h.replica.is_leader)
         if host is None:
             return
@@ -94,20 +94,20 @@
         host.propose(command, lambda result: self._evacuated(place, evacuated, result))
 
     def _evacuated(self, place, evacuated, result):
-        """An acknowledged order holds at its version, which names one set of places for ever."""
+        """Check that an acknowledged order holds, and that its version never changes contents."""
         if (place in result.places.data_centres) != evacuated:
             raise Breach(f"an order for {place} was acknowledged and not carried out")
         self.note_evacuated(result.places)
         self.acknowledged = max(self.acknowledged, result.places.version)
 
     def note_evacuated(self, places):
-        """Record what is evacuated at a version, as seen anywhere."""
+        """Record the evacuated data centres at a version, as observed on any host."""
         known = self.evacuated.setdefault(places.version, places.data_centres)
         if known != places.data_centres:
             raise Breach(f"evacuations at version {places.version} have two contents")
 
     def _watch_evacuations(self):
-        """A gateway hears of evacuations from any live host, however far behind."""
+        """Update a gateway's evacuations from any running host, however old its state."""
         host = self._any(lambda h: h.runs)
         if host is None:
             return
@@ -115,11 +115,11 @@
         before = held.version
         held.take(to_wire(host.state.evacuations.places))
         if held.version < before:
-            raise Breach("a gateway stepped back to an earlier evacuation")
+            raise Breach("a gateway went back to an earlier version of the evacuations")
         self.note_evacuated(held.places)
 
     def _watch(self):
-        """A gateway reads from any live host, however far behind."""
+        """Update a gateway's revision from any running host, however old its state."""
         host = self._any(lambda h: h.runs)
         held = self.random.choice(self.revisions)
         if host is None:
@@ -134,9 +134,9 @@
         try:
             held.take(reply)
         except DeltaMismatch as error:
-            raise Breach("a delta did not fit its base") from error
+            raise Breach("a delta did not match its base") from error
         if held.number < before:
-            raise Breach("a gateway stepped back")
+            raise Breach("a gateway went back to an earlier revision")
         known = self.digests.setdefault(held.number, held.digest)
         if known != held.digest or entities_digest(held.entities) != held.digest:
             raise Breach(f"number {held.number} is in force with two contents")
--- a/tests/support/hosts.py
+++ b/tests/support/hosts.py
@@ -1,4 +1,4 @@
-"""Machines of a group under test: a fake disk, a clock of its own, and the real replica."""
+"""Simulated machines of a group: a fake disk, a separate clock, and the real replica."""
 
 from traystall.consensus.log import ReplicaLog
 from traystall.consensus.models import (
@@ -17,16 +17,16 @@
 
 GROUP = "main"
 TIMING = Timing()
-# Clocks of two instances run apart by up to this much, within what the lease allows.
+# Range of clock rates of the hosts; the lease tolerates a drift of this size.
 CLOCK_RATES = (0.96, 1.04)
 
 
 class Breach(AssertionError):
-    """Report that something which must always hold did not."""
+    """Report the violation of an invariant."""
 
 
 class Disk:
-    """Hold what is durable, and jobs that are written but not yet synced."""
+    """Hold durable state, and jobs that are written but not yet synced."""
 
     def __init__(self):
         self.hard_state = HardState()
@@ -56,7 +56,7 @@
 
 
 class Host:
-    """Run one replica over its disk and clock."""
+    """Run one replica with its own disk and clock."""
 
     replica_class = Replica
 
@@ -85,7 +85,7 @@
         return self.alive and not self.frozen
 
     def boot(self):
-        """Start from what is durable."""
+        """Start from the durable state."""
         self.disk.jobs = []
         self.state = StateMachine()
         self.waiting = {}
@@ -104,13 +104,13 @@
         self.frozen = False
 
     def wipe(self):
-        """Lose the disk: come back as a new incarnation with nothing."""
+        """Lose the disk and restart as a new incarnation with empty state."""
         self.incarnation += 1
         self.disk = Disk()
         self.boot()
 
     def pump(self):
-        """Carry out what the replica asks for, as the daemon's node does."""
+        """Perform the actions that the replica returns, as the daemon's node does."""
         while ready := self.replica.take_ready():
             self.group.send(self, ready.messages)
             if ready.restore is not None:
@@ -135,7 +135,7 @@
         )
 
     def sync(self, count):
-        """Finish the oldest pending writes and what depends on them."""
+        """Complete the oldest pending writes and the actions that depend on them."""
         done = self.disk.sync(count)
         for job in done:
             self.group.effect("sync", self)
@@ -155,7 +155,7 @@
             callback(result)
 
     def propose(self, command, callback):
-        """Propose a command; the callback gets its result if it commits here."""
+        """Propose a command; the callback gets its result if the command commits on this host."""
         try:
             index = self.replica.propose([pack(command)], self.now)[0]
         except ConsensusError:
--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -12,7 +12,7 @@
 
 
 class KnownRed(msgspec.Struct, frozen=True):
-    """Name a test or a file whose tests fail, how to see that, and what was seen."""
+    """Describe a known failure: a test or a whole file, the command, and the observed failure."""
 
     test: str
     command: str
@@ -20,13 +20,13 @@
     issue: str
 
     def names(self, node_id: str) -> bool:
-        """Return whether this line is about a test: itself, all its cases or its whole file."""
+        """Return whether the line applies to a test: by name, by any of its cases, or by file."""
         rest = node_id.removeprefix(self.test)
         return node_id.startswith(self.test) and (not rest or rest[0] in "[:")
 
 
 def read_known_red(path: pathlib.Path) -> list[KnownRed]:
-    """Return the lines of a list, none if there is no file; raise ValueError if it is faulty."""
+    """Return the lines of a list, or [] without a file; raise ValueError if it is malformed."""
     if not path.exists():
         return []
     lines = [line for line in path.read_text().splitlines() if line.strip()]
--- a/tests/support/lending.py
+++ b/tests/support/lending.py
@@ -1,6 +1,7 @@
-"""Many gateways that lend what one target takes, in this process, on a clock that a test steps.
+"""Simulated gateways that share the announced limit of one target, on a stepped clock.
 
-Links answer at once, or not at all where a gateway is cut off or lost.
+Two of the gateways are lenders: they grant permits for requests to the target. Links deliver at
+once, or time out if a gateway is cut off or has ended.
 """
 
 import random
@@ -50,7 +51,7 @@
 
 
 class LendingSite:
-    """Hold gateways that all know of a limit; `sent` keeps when each of them sent what."""
+    """Run gateways that all know of a limit; `sent` has each request with its gateway."""
 
     def __init__(self, monkeypatch_clock, count, limit, seed=0):
         self.now = 1000.0
@@ -60,7 +61,7 @@
         self.gateways: dict[str, Permits] = {}
         self.cut: set[str] = set()
         self.messages = 0
-        # (when, by which gateway)
+        # (time, gateway)
         self.sent: list[tuple[float, str]] = []
         self.denied = 0
         self.rows: list[GatewayRow] = []
@@ -71,7 +72,7 @@
         self.review()
 
     def add(self, name):
-        """Start a gateway; the others see it at once."""
+        """Start a gateway; the others list it at once."""
         permits = Permits(name, lambda: self.rows, self.random)
         permits.links = _Links(self, name)
         self.gateways[name] = permits
@@ -82,25 +83,25 @@
             permits.observe_answer(LIFE, AnnouncedLimit(self.limit), self.now, "r")
 
     def end(self, name):
-        """End a gateway; the others see that once `unlist` is called."""
+        """End a gateway; the others list it until `unlist` is called."""
         del self.gateways[name]
 
     def unlist(self, name):
-        """Take a gateway out of the directory."""
+        """Remove a gateway from the directory."""
         self.rows = [row for row in self.rows if row.identity != name]
 
     def review(self):
-        """Let all gateways note who serves; those that are cut off see what they saw before."""
+        """Update the directory at all gateways; a gateway that is cut off keeps its old one."""
         for name, permits in self.gateways.items():
             if name not in self.cut:
                 permits.ranks.note(self.rows, self.now)
 
     def lenders(self):
-        """Return the names of the two that lend."""
+        """Return the names of the two lenders."""
         return next(iter(self.gateways.values())).ranks.lenders(LIFE, PLACE)
 
     async def ask(self, name, patience=0.0):
-        """Let a gateway send one request if it may; return whether it did."""
+        """Send one request through a gateway if it gets a permit; return whether it was sent."""
         permits = self.gateways[name]
         if not permits.limit(LIFE).is_limited:
             self.sent.append((self.now, name))
@@ -109,14 +110,14 @@
         with suppress(PermitDenied):
             permit = await permits.take(LIFE, PLACE, patience)
             self.sent.append((max(self.now, permit.valid_from), name))
-            # An answer that names the limit again, or none.
+            # The response announces the limit again, or none.
             permits.observe_answer(LIFE, AnnouncedLimit(self.limit), self.now, "r")
             return True
         self.denied += 1
         return False
 
     async def press(self, seconds, per_second, weights=None, patience=0.0):
-        """Let requests come for so long, spread over gateways by `weights`, evenly without."""
+        """Generate requests for `seconds`, spread over gateways by `weights` (default: evenly)."""
         names = list(self.gateways)
         ends = self.now + seconds
         reviewed = self.now
@@ -132,7 +133,7 @@
         self.review()
 
     def most_within(self, seconds, excused=()):
-        """Return the most that was sent in some span of so many seconds."""
+        """Return the largest number of requests sent in any span of `seconds`."""
         times = sorted(at for at, name in self.sent if name not in excused)
         ends, most = 0, 0
         for number, at in enumerate(times):
@@ -143,5 +144,5 @@
 
 
 def clock_of(monkeypatch):
-    """Return what puts a function in the place of the steady clock."""
+    """Return a function that replaces the monotonic clock."""
     return lambda now: monkeypatch.setattr(clock, "monotonic", now)
--- a/tests/support/limit_soak.py
+++ b/tests/support/limit_soak.py
@@ -1,9 +1,9 @@
-"""Random days of gateways that share the limit of one target, on a clock that is stepped.
+"""Randomized soak test of gateways that share the limit of one target, on a stepped clock.
 
     python -m tests.support.limit_soak --seeds 50
 
-Gateways end, start, are cut off, freeze with a permit in hand; the limit rises, falls, ends and
-comes back. What is judged is what was sent, and by whom.
+Gateways end, start, are cut off, and freeze while they hold a permit; the limit rises, falls, is
+removed and comes back. The checks use only what was sent, and by which gateway.
 """
 
 import asyncio
@@ -18,14 +18,15 @@
 
 DAY_SECONDS = 90.0
 SPAN_SECONDS = 4.0
-# What was lent before a limit fell, or before all knew of it, is on its way for so long.
+# Permits granted before a change of the limit, or before all gateways know it, are used up to this
+# many seconds later.
 KNOWN_SECONDS = 1.0
 LIMITS = (0.25, 1.0, 5.0, 20.0)
 SIZES = (3, 9, 24)
 
 
 class Day:
-    """Play one day."""
+    """Run one scenario."""
 
     def __init__(self, seed: int, use_clock):
         self._random = random.Random(seed)
@@ -33,14 +34,14 @@
         self._site = LendingSite(use_clock, size, limit, seed)
         self._names = 0
         self._wrong: list[str] = []
-        # (from, to, limit) of each time without a change.
+        # (from, to, limit) of each period without a change of the limit.
         self._periods: list[tuple[float, float, float | None]] = []
         self._since = self._site.now
-        # When each gateway was last cut off or frozen: it is excused around that.
+        # Periods around the cuts and freezes of each gateway, which the checks leave out.
         self._excused: dict[str, list[tuple[float, float]]] = {}
 
     async def play(self) -> list[str]:
-        """Return what went wrong."""
+        """Return the violations."""
         ends = self._site.now + DAY_SECONDS
         while self._site.now < ends:
             per_second = self._random.choice((5.0, 40.0, 150.0))
@@ -70,7 +71,7 @@
         self._excused.setdefault(name, []).append((began, site.now + SPAN_SECONDS))
 
     async def _freeze(self):
-        """Stop a gateway between its permit and its sending: what it holds must be void then."""
+        """Freeze a gateway between taking a permit and sending; the permit must expire."""
         site = self._site
         name = self._random.choice([n for n in site.gateways if n not in site.cut])
         permits = site.gateways[name]
@@ -83,11 +84,11 @@
             await site.press(self._random.uniform(0.8, 5.0), 40.0, others)
         if site.limit is not None and permits.covers(LIFE, permit):
             self._wrong.append(
-                f"a permit was good after its end, {site.now - permit.valid_until:.1f} s"
+                f"a permit was valid after its end, {site.now - permit.valid_until:.1f} s"
             )
 
     async def _change(self):
-        """Let the target name another limit, or none; whoever asks next hears it."""
+        """Change or remove the announced limit; all gateways learn of it 0.6 s later."""
         site = self._site
         self._close_period()
         site.limit = self._random.choice((*LIMITS, None))
@@ -110,7 +111,7 @@
                 for at, name in self._site.sent
                 if begins <= at < ends and not self._is_excused(name, at)
             )
-            # The lenders' own aim, below the one and a half times that targets allow.
+            # The bound that the lenders keep, below the 1.5 times that targets tolerate.
             allowed = limit * SPAN_SECONDS + 5
             for at in times:
                 inside = sum(at <= other < at + SPAN_SECONDS for other in times)
@@ -124,7 +125,7 @@
 
 
 def play_day(seed: int) -> list[str]:
-    """Return what went wrong on the day of a seed."""
+    """Return the violations in the scenario of a seed."""
     real = clock.monotonic
 
     def use_clock(now):
@@ -137,14 +138,14 @@
 
 
 def main(seeds: int = 10, first: int = 1) -> None:
-    """Play SEEDS days from the seed FIRST on, and print what went wrong."""
+    """Run SEEDS scenarios from the seed FIRST on, and print the violations."""
     broken = 0
     for seed in range(first, first + seeds):
         found = play_day(seed)
         broken += bool(found)
         for line in found:
             print(f"seed {seed}: {line}", flush=True)
-    print(f"{seeds} days, {broken} with something broken")
+    print(f"{seeds} scenarios, {broken} with violations")
 
 
 if __name__ == "__main__":
--- a/tests/support/narrow_link.py
+++ b/tests/support/narrow_link.py
@@ -1,14 +1,14 @@
-"""One narrow link between a gateway and all its control daemons, with other traffic on it.
+"""A narrow link between a gateway and all its control daemons, shared with other traffic.
 
-Relays stand at the addresses that control daemons advertise. What the daemons send to the
-gateway shares one link of a given width; connections that have bytes waiting take turns of one
-segment each. Other traffic takes a fixed share of the width at all times. A connection has small
-bounded buffers here: when they are full nothing more is read, and the daemon that writes is held
-up. What the gateway sends, and what control daemons say to one another, passes unshaped.
+Relays listen at the addresses that control daemons advertise. Data from the daemons to the
+gateway shares one link of a given bandwidth; connections with pending bytes take turns of one
+segment each. Other traffic takes a fixed share of the bandwidth at all times. Each connection has
+small bounded buffers: when they are full, the relay stops reading and the daemon's writes block.
+Data from the gateway, and data between control daemons, is not shaped.
 
-Widths are bytes a second, sizes bytes, times seconds. The link has a clock of its own, which does
-not run while the machine leaves the event loop waiting: a bound in its seconds says what the link
-could have carried, however busy the machine is.
+Bandwidths are bytes a second, sizes bytes, times seconds. The link has its own clock, which does
+not advance while the machine delays the event loop. A bound in seconds of this clock states what
+the link could have carried, however busy the machine is.
 """
 
 import asyncio
@@ -22,28 +22,28 @@
 from traystall.rpc.gen.wire.ttypes import Hello
 from traystall.rpc.messages import decode, encode
 
-# What one connection sends before it is the turn of the next, in bytes.
+# Bytes that one connection sends before the turn of the next connection.
 _SEGMENT_BYTES = 1400
-# What waits for its turn on one connection, in bytes; the kernel's buffer comes on top of it.
+# Bytes that wait for a turn on one connection; the kernel's buffer is additional.
 _QUEUE_BYTES = 8 * 1024
 _KERNEL_BUFFER_BYTES = 8 * 1024
-# How often the bytes that the width allows are handed out, in seconds.
+# Interval at which the bandwidth is distributed, in seconds.
 _TURN_SECONDS = 0.01
-# The link's clock goes on by this much at most from one turn to the next, in seconds.
+# Largest advance of the link's clock between two turns, in seconds.
 _LONGEST_TURN_SECONDS = 0.1
 _CHUNK_BYTES = 64 * 1024
 _GATEWAY_ROLE = "gateway"
 
 
 class NarrowLink:
-    """Carry what control daemons send to one gateway; count what is delivered."""
+    """Carry data from control daemons to one gateway; count the delivered bytes."""
 
     def __init__(self, bytes_per_second: float, busy_share: float):
-        # What other traffic leaves free, in bytes a second.
+        # Bandwidth that other traffic leaves, in bytes a second.
         self.free_bytes_per_second = bytes_per_second * (1 - busy_share)
-        # Bytes that reached the gateway, by the name of the control daemon that sent them.
+        # Bytes delivered to the gateway, by the name of the sending control daemon.
         self.delivered: collections.Counter[str] = collections.Counter()
-        # How long the link has been in use by its own clock, in seconds.
+        # Time that the link has been in use by its own clock, in seconds.
         self.seconds = 0.0
         self._credit_bytes = 0.0
         self._still = False
@@ -64,19 +64,19 @@
         return f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
     def stand_still(self) -> None:
-        """Let no byte pass either way until `go_on`; nothing is closed."""
+        """Stall all data in both directions until `go_on`; no connection is closed."""
         self._still = True
 
     def go_on(self) -> None:
-        """End what `stand_still` began."""
+        """End the stall that `stand_still` started."""
         self._still = False
 
     def silence(self, name: str) -> None:
-        """Let no byte pass between the gateway and one daemon any more; nothing is closed."""
+        """Stall all data between the gateway and one daemon for good; no connection is closed."""
         self._silent.add(name)
 
     def reset(self, name: str) -> None:
-        """Break the gateway's connections to one daemon, as its end does; what waits is lost."""
+        """Reset the gateway's connections to one daemon as if it ended; pending data is lost."""
         for connection in list(self._turns):
             if connection.name == name:
                 connection.close()
@@ -91,7 +91,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def is_held(self, name: str) -> bool:
-        """Return whether no byte may pass to or from a daemon now."""
+        """Return whether the data of a daemon is stalled now."""
         return self._still or name in self._silent
 
     async def _serve(self, name, target, reader, writer):
@@ -102,7 +102,7 @@
         except (OSError, asyncio.IncompleteReadError, RpcError):
             pass
         except asyncio.CancelledError:
-            pass  # By `close`; passed on, it would be logged as an error of the stream's own task.
+            pass  # Cancelled by `close`; asyncio would log it as an error of the stream's task.
         finally:
             self._tasks.discard(task)
             writer.transport.abort()
@@ -146,7 +146,7 @@
                 self._take_turns()
 
     def _take_turns(self):
-        """Hand out what the width allows now; what nobody has bytes for is not kept."""
+        """Distribute the bandwidth of one turn; bandwidth that no connection needs is lost."""
         idle = 0
         while self._credit_bytes > 0 and idle < len(self._turns):
             connection = self._turns[0]
@@ -159,7 +159,7 @@
 
 
 class _Connection:
-    """Hold what waits for its turn on one connection of the gateway."""
+    """Hold the pending data of one connection of the gateway."""
 
     def __init__(self, name, writer):
         self.name = name
@@ -169,14 +169,14 @@
         self._sent = asyncio.Event()
 
     async def fill(self, reader):
-        """Take in what the daemon sends as there is room; return once all of it is delivered."""
+        """Read from the daemon while the buffer has space; return once all data is delivered."""
         while data := await reader.read(_SEGMENT_BYTES):
             self._waiting += data
             await self._until_below(_QUEUE_BYTES)
         await self._until_below(1)
 
     def send(self, most):
-        """Send at most so many bytes to the gateway; return how many it were."""
+        """Send at most `most` bytes to the gateway; return the number of bytes sent."""
         if self.closed.is_set() or self._writer.is_closing():
             return 0
         data = bytes(self._waiting[:most])
@@ -187,7 +187,7 @@
         return len(data)
 
     def close(self):
-        """Break the connection; what waits is lost."""
+        """Abort the connection; pending data is lost."""
         self._waiting.clear()
         self.closed.set()
 
@@ -198,7 +198,7 @@
 
 
 async def _connect(target, narrow):
-    """Open a connection to a daemon, with small buffers and segments if it is a narrow one."""
+    """Open a connection to a daemon; a narrow one has small buffers and segments."""
     host, port = target.split(":")
     if not narrow:
         return await asyncio.open_connection(host, int(port))
@@ -215,7 +215,7 @@
 
 
 async def _pump(reader, writer, is_held=lambda: False):
-    """Pass bytes on as they come, none while the link is held."""
+    """Relay bytes from reader to writer, none while the link is stalled."""
     while data := await reader.read(_CHUNK_BYTES):
         while is_held():
             await asyncio.sleep(_TURN_SECONDS)
@@ -224,7 +224,7 @@
 
 
 async def _first(*coroutines):
-    """Return once one of these has ended; end the others."""
+    """Return once one of the coroutines has ended; cancel the others."""
     tasks = [asyncio.create_task(coroutine) for coroutine in coroutines]
     try:
         await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
--- a/tests/support/pass_gateway.py
+++ b/tests/support/pass_gateway.py
@@ -1,4 +1,4 @@
-"""A pass-through gateway in this process, in the product's own form, on free ports."""
+"""A pass-through gateway in the test process, with the product's own API, on free ports."""
 
 from tests.support.control_group import free_address
 from traystall.conf.settings import load
@@ -9,7 +9,7 @@
 
 
 async def start_pass_gateway(instance, controls):
-    """Return a started gateway that asks the control daemons at the addresses `controls`."""
+    """Return a started gateway that follows the control daemons at the addresses `controls`."""
     values = {
         "cluster": "test",
         "instance": instance,
--- a/tests/support/power.py
+++ b/tests/support/power.py
@@ -1,9 +1,9 @@
-"""A group of replicas on real data folders whose machines lose power at any step of a write.
+"""A consensus group on real data folders, with power failures at any step of a write.
 
-Files live in a scratch folder; what a loss of power leaves of it is worked out
-from what was synced. A file keeps what its last sync covered, and of later
-writes a part, possibly torn; a new file survives by its own sync, a rename or a
-removal only by a sync of its folder. Each is kept or lost on its own.
+Files are in a scratch folder; the contents after a power failure are computed from what was
+synced. A file keeps the contents of its last sync, and a part of later writes, possibly torn. A
+new file survives by its own sync, a rename or a removal only by a sync of the folder. Each change
+is kept or lost independently of the others.
 """
 
 import os
@@ -19,24 +19,24 @@
 
 
 class PowerCut(Exception):
-    """End whatever a machine was doing."""
+    """Interrupt a machine at any point of its work."""
 
 
 class LossyFiles:
-    """Watch the syncs of one folder and tell what a loss of power would leave of it."""
+    """Track the syncs of one folder and compute its contents after a power failure."""
 
     def __init__(self, path: Path, rng):
         self.path = path
         self._rng = rng
-        # Links that keep removed files' inodes from being given to new files.
+        # Hard links to removed files, so that their inodes are not reused for new files.
         self._held = path.parent / f"{path.name}.held"
         self._held.mkdir()
-        # By inode: what its last sync covered; by name: the inode that is surely there.
+        # The contents at the last sync by inode, and the durable directory entries by name.
         self._synced: dict[int, bytes] = {}
         self._names: dict[str, int] = {}
 
     def on_sync(self, inode: int) -> None:
-        """Take in that a file or the folder itself was synced."""
+        """Record the sync of a file or of the folder itself."""
         now = self._files()
         for name, found in now.items():
             held = self._held / str(found)
@@ -51,7 +51,7 @@
                 self._names.setdefault(name, inode)
 
     def lose_power(self) -> None:
-        """Replace the folder by what the loss of power leaves."""
+        """Replace the folder's contents by those that survive a power failure."""
         now = self._files()
         contents = {inode: (self.path / name).read_bytes() for name, inode in now.items()}
         left: dict[str, bytes] = {}
@@ -90,19 +90,19 @@
 
 
 class PowerDisk:
-    """Stand in for the group's disk: jobs wait until they are written to a data folder."""
+    """Replace the group's disk: jobs wait until they are written to a data folder."""
 
     def __init__(self, path: Path, name: str, rng):
         path.mkdir()
         self.files = LossyFiles(path, rng)
         self.jobs = []
-        # After so many syncs the power goes; None for never.
+        # Number of syncs until the power fails; None for never.
         self.syncs_left = None
         self._name = name
         self.open()
 
     def open(self) -> None:
-        """Recover what the folder holds."""
+        """Recover the contents of the folder."""
         self.folder = DataFolder(str(self.files.path))
         _SYNCED_BY.append(self)
         try:
@@ -115,7 +115,7 @@
         self.entries = recovered.log.between(first, last) if last >= first else []
 
     def sync(self, count):
-        """Write the first jobs down; raise PowerCut where the power goes."""
+        """Write the first jobs; raise PowerCut if the power fails."""
         done, self.jobs = self.jobs[:count], self.jobs[count:]
         _SYNCED_BY.append(self)
         try:
@@ -125,7 +125,7 @@
         return done
 
     def on_sync(self, descriptor) -> None:
-        """Count a sync; the power may go before it or right after it."""
+        """Count a sync; the power may fail before it or right after it."""
         inode = os.fstat(descriptor).st_ino
         if self.syncs_left is not None:
             self.syncs_left -= 1
@@ -134,28 +134,28 @@
         self.files.on_sync(inode)
 
     def lose_power(self) -> None:
-        """Keep what a loss of power leaves."""
+        """Keep only the data that survives a power failure."""
         self.syncs_left = None
         self.jobs = []
         self.folder.close()
         self.files.lose_power()
 
 
-# Whose syncs are under way; the folder itself knows nothing of the test.
+# The disk whose syncs are running; the data folder has no reference to the test.
 _SYNCED_BY: list[PowerDisk] = []
 
 
 @pytest.fixture
 def lossy_syncs(monkeypatch):
-    """Let every sync of a data folder be seen, and none reach the real disk."""
+    """Intercept every sync of a data folder, so that none reaches the real disk."""
     monkeypatch.setattr(folder_module.os, "fsync", lambda number: _SYNCED_BY[-1].on_sync(number))
 
 
 class PowerHost(Host):
-    """Run a replica over a data folder."""
+    """Run a replica with a data folder."""
 
     def boot(self):
-        """Start from what the folder holds."""
+        """Start from the contents of the folder."""
         if isinstance(self.disk, Disk):
             self.disk = self.group.new_disk(self)
         else:
@@ -166,21 +166,21 @@
         super().boot()
 
     def sync(self, count):
-        """Sync as the daemon does; a loss of power ends everything at once."""
+        """Sync as the daemon does; a power failure stops the whole host at once."""
         try:
             super().sync(count)
         except PowerCut:
             self.lose_power()
 
     def lose_power(self):
-        """Lose what was not synced, some of it or all."""
+        """Lose some or all of the data that was not synced."""
         self.alive = False
         self.waiting = {}
         self.disk.lose_power()
 
 
 class PowerGroup(Group):
-    """Run a group whose machines lose power; nothing acknowledged may be lost by it."""
+    """Run a group whose machines lose power; acknowledged data must survive."""
 
     host_class = PowerHost
 
@@ -197,13 +197,13 @@
         return PowerDisk(self._path / f"disk{self._disks}", host.name, self.random)
 
     def arm(self):
-        """Let the power of a machine go within its next syncs."""
+        """Let the power of one machine fail within its next syncs."""
         host = self._any(lambda h: h.runs)
         if host is not None:
             host.disk.syncs_left = self.random.randrange(5)
 
     def lose_all_power(self):
-        """Let the power of every machine go now."""
+        """Let the power of every machine fail now."""
         for host in self.hosts:
             if host.alive:
                 host.lose_power()
@@ -222,11 +222,11 @@
         if result.outcome is ApplyOutcome.ACCEPTED:
             self.accepted_number = max(self.accepted_number, number)
             if not self.settling and self.random.random() < 0.1:
-                # Right after it was acknowledged.
+                # Right after the acknowledgement.
                 self.lose_all_power()
 
     def settle(self):
-        """Heal everything; the newest acknowledged number must be held."""
+        """Repair all faults; the newest acknowledged number must still be held."""
         self.settling = True
         for host in self.hosts:
             host.disk.syncs_left = None
--- a/tests/support/raw_target.py
+++ b/tests/support/raw_target.py
@@ -1,4 +1,4 @@
-"""A target at the level of bytes, which misbehaves at a chosen point of an exchange."""
+"""A target on plain sockets that fails at a chosen point of an exchange."""
 
 import asyncio
 import json
@@ -11,21 +11,21 @@
 
 
 class RawTarget:
-    """Answer each request by the next fault of a script, then properly."""
+    """Apply the next fault of a list to each request; respond properly without a fault."""
 
     def __init__(self, kind="service", faults=()):
         self.kind = kind
         self.faults = list(faults)
         self.runs: list[dict] = []
         self.seen: list[str] = []
-        # A request whose body holds this ends the target; it listens again after so many seconds.
+        # A request with this text in its body ends the target, which restarts after `back_seconds`.
         self.ends_on = ""
         self.ends = 0
         self.back_seconds = 0.3
-        # What it answers as Retry-After when it asks for rest.
+        # Retry-After value of the responses that request a backoff.
         self.rest = ""
-        # What all its answers name as the requests a second that it takes, None while they name
-        # nothing, and when each request reached it (monotonic seconds).
+        # Limit that all responses announce, in requests a second (None: no limit is announced),
+        # and the arrival time of each request (monotonic seconds).
         self.limit = None
         self.arrivals = []
         self.address = ""
@@ -149,7 +149,7 @@
         self._write(writer, 200, "", json.dumps({"known": known, "result": result}))
 
     def most_within(self, seconds, begin):
-        """Return the most requests in some span of so many seconds, of those after `begin`."""
+        """Return the largest number of requests after `begin` in any span of `seconds`."""
         times = [at for at in self.arrivals if at > begin]
         return max((bisect_left(times, at + seconds) - n for n, at in enumerate(times)), default=0)
 
--- a/tests/support/relay.py
+++ b/tests/support/relay.py
@@ -1,8 +1,8 @@
-"""Relays before the control daemons that can cut a link in silence: nothing is reset.
+"""Relays in front of control daemons that can cut a link without a reset.
 
-A relay reads the greeting of a link to learn who opened it. While the link is
-cut, bytes stay where they are, both ways; when the cut heals, links that were
-cut are closed, as a network does to connections that have timed out.
+A relay reads the greeting of a link to identify the peer that opened it. While the link is cut,
+bytes are held back in both directions. When the cut ends, links that were cut are closed, as a
+network does to connections that have timed out.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 
 
 class CuttingRelay:
-    """Forward links to control daemons, in a thread of its own."""
+    """Forward links to control daemons, in a separate thread."""
 
     def __init__(self):
         self._blocked: set[tuple[str, str]] = set()
@@ -35,12 +35,12 @@
         self._run(asyncio.start_server(serve, host, int(port)))
 
     def cut(self, name, others):
-        """Cut `name` from the `others` in silence, whoever opened the link."""
+        """Cut the links between `name` and the `others` without a reset, in both directions."""
         self._blocked |= {(name, other) for other in others}
         self._blocked |= {(other, name) for other in others}
 
     def heal(self):
-        """End every cut; links that were cut are closed."""
+        """End every cut and close the links that were cut."""
         blocked, self._blocked = self._blocked, set()
         for source, target, *writers in self._links:
             if (source, target) in blocked:
--- a/tests/support/release_hosts.py
+++ b/tests/support/release_hosts.py
@@ -1,4 +1,4 @@
-"""Machines of a group of which some run a release that knows no parts of entries."""
+"""Hosts of a group some of which run an older release that cannot send parts of entries."""
 
 from tests.support.hosts import Breach, Host
 from traystall.consensus.replica import Replica
@@ -6,15 +6,17 @@
 
 
 class ReplicaWithoutParts(Replica):
-    """Take and send whole entries only; a part ends its link, as an unknown method does."""
+    """Send and receive whole entries only; a part ends the link, as an unknown method does."""
 
-    # Whether this identity ran a release that knows parts: one may still be on its way then.
+    # Whether this identity ran a release with parts before: one may then still be in transit.
     knew_parts = False
 
     def receive(self, message, now):
         if isinstance(message, EntryPart | EntryPartReply):
             if message.to == self.identity and not self.knew_parts:
-                raise Breach(f"{self.identity} got {type(message).__name__}, which it never knew")
+                raise Breach(
+                    f"{self.identity} received {type(message).__name__}, which it does not know"
+                )
             return
         if isinstance(message, AppendReply):
             message.takes_parts = None
@@ -29,7 +31,7 @@
 
 
 class RollingHost(Host):
-    """Come up with another release at random."""
+    """Start with a random release at each boot."""
 
     knew_parts = False
 
--- a/tests/support/rest_soak.py
+++ b/tests/support/rest_soak.py
@@ -1,8 +1,8 @@
-"""Random days of targets that ask for rest, name limits, leave, fail and start again.
+"""Randomized soak test of targets that request backoff, announce limits, leave and fail.
 
     python -m tests.support.rest_soak --seeds 50
 
-What a day may break is judged from what reached the targets, not from what the gateway knows.
+The checks use only the requests that reached the targets, not the state of the gateway.
 """
 
 import asyncio
@@ -20,10 +20,11 @@
 
 DAY_SECONDS = 4.0
 PER_SECOND = 60
-# What is on its way may still arrive, in seconds, and so many requests later than that.
+# Requests in transit may still arrive for SLACK_SECONDS after a backoff has begun, and up to
+# MOST_IN_REST requests later in it.
 SLACK_SECONDS = 0.5
 MOST_IN_REST = 2
-# A limit is kept from so long after a target has begun to name it, in any span, in seconds.
+# Time until a newly announced limit holds, and the span in which it is checked, in seconds.
 KNOWN_SECONDS = 0.6
 SPAN_SECONDS = 1.0
 LIMITS = ("0.5", "2", "10", None)
@@ -36,22 +37,24 @@
 
 
 class Life(msgspec.Struct):
-    """Hold what one life of a target has asked for, and what reached it."""
+    """Hold the demands of one incarnation of a target, and the requests that reached it."""
 
     name: str
     rests: list[tuple[float, float]]
     left_at: float | None
     arrivals: list[tuple[float, str]]
-    # (from, to, requests a second) of each time in which it named a limit.
+    # (from, to, requests a second) of each period with an announced limit.
     limits: list[tuple[float, float, float]] = []
 
     def broken(self) -> list[str]:
-        """Return what reached it against its word."""
+        """Return the requests that violate the demands of the target."""
         found = []
         for at, seconds in self.rests:
             inside = [p for t, p in self.arrivals if at + SLACK_SECONDS < t < at + seconds]
             if len(inside) > MOST_IN_REST:
-                found.append(f"{self.name}: {len(inside)} in a rest of {seconds} s, {set(inside)}")
+                found.append(
+                    f"{self.name}: {len(inside)} in a backoff of {seconds} s, {set(inside)}"
+                )
         if self.left_at is not None:
             late = [
                 path
@@ -59,11 +62,11 @@
                 if t > self.left_at + SLACK_SECONDS and not path.endswith(UPKEEP)
             ]
             if late:
-                found.append(f"{self.name}: {len(late)} after it said that it leaves, {set(late)}")
+                found.append(f"{self.name}: {len(late)} after it announced leaving, {set(late)}")
         return found + self._beyond()
 
     def _beyond(self):
-        """Return where more reached it than its limit allows."""
+        """Return the violations of the announced limits."""
         found = []
         for begins, ends, limit in self.limits:
             times = [t for t, _ in self.arrivals if begins + KNOWN_SECONDS < t < ends]
@@ -74,7 +77,7 @@
 
 
 class Day:
-    """Play one day."""
+    """Run one scenario."""
 
     def __init__(self, seed: int):
         self._random = random.Random(seed)
@@ -82,12 +85,12 @@
         self._started: dict[str, int] = {}
         self._lives: list[Life] = []
         self._wrong: list[str] = []
-        # Since when each target names its limit, and the times that are over.
+        # The start of each target's current limit, and its past periods with a limit.
         self._limited_at: dict[str, float] = {}
         self._limits: dict[str, list[tuple[float, float, float]]] = {}
 
     async def play(self) -> list[str]:
-        """Return what went wrong."""
+        """Return the violations."""
         for pool, count in {"plain": 3, "engine": 2, "batches": 3}.items():
             for number in range(count):
                 name = f"{pool}-{number}"
@@ -123,7 +126,7 @@
         try:
             status, _, body = await self._gateway.call(path, **headers)
         except aiohttp.ClientError as error:
-            # A stream whose target ended can't go on: it is cut, and must not look whole.
+            # A stream whose target ended cannot continue: it is cut, and must not look complete.
             if path not in STREAMS:
                 self._wrong.append(f"{path}: {error!r}")
             return
@@ -147,7 +150,7 @@
         runner.rests_marked = self._random.random() < 0.7
 
     async def _limit(self, name):
-        """Let a target name another limit, or none any more."""
+        """Change or remove the limit that a target announces."""
         self._close_limit(name)
         runner = self._runners[name][1]
         runner.limit = self._random.choice(LIMITS)
@@ -173,7 +176,7 @@
         self._gateway.evacuate()
 
     async def _start_again(self, name):
-        """End a target; its next life is known at once, or after its first answers."""
+        """Restart a target; it is reported at once, or after its first responses."""
         _, runner = self._runners[name]
         runner.end()
         self._end_life(name)
@@ -197,7 +200,7 @@
 
 
 def play_day(seed: int) -> list[str]:
-    """Return what went wrong on the day of a seed."""
+    """Return the violations in the scenario of a seed."""
 
     async def bounded():
         async with asyncio.timeout(DAY_SECONDS * 5):
@@ -207,14 +210,14 @@
 
 
 def main(seeds: int = 10, first: int = 1) -> None:
-    """Play SEEDS days from the seed FIRST on, and print what went wrong."""
+    """Run SEEDS scenarios from the seed FIRST on, and print the violations."""
     broken = 0
     for seed in range(first, first + seeds):
         found = play_day(seed)
         broken += bool(found)
         for line in found:
             print(f"seed {seed}: {line}", flush=True)
-    print(f"{seeds} days, {broken} with something broken")
+    print(f"{seeds} scenarios, {broken} with violations")
 
 
 if __name__ == "__main__":
--- a/tests/support/site.py
+++ b/tests/support/site.py
@@ -1,6 +1,6 @@
-"""Control daemons, gateways and targets that register themselves, in this process.
+"""Control daemons, gateways and self-registering targets in the test process.
 
-Everything speaks the product's own form: bundles' entities, /v1/targets, its own headers.
+All parts use the product's own API: entities of bundles, /v1/targets, and its own headers.
 """
 
 import asyncio
@@ -29,7 +29,7 @@
 
 
 def entities(pool="plain"):
-    """Return a configuration: a plain route to `pool`, a streamed one with two stages."""
+    """Return a configuration: plain routes, one to `pool`, and a streamed two-stage route."""
     rows = {
         "route/plain": Route("plain", HOST, "/plain/", (Split(pool),), True, timeout=5.0, aim=1.0),
         "route/once": Route("once", HOST, "/once/", (Split(pool),), timeout=5.0, aim=1.0),
@@ -55,7 +55,7 @@
 
 
 class Site:
-    """Hold control daemons, gateways and targets; callers and targets speak HTTP to them."""
+    """Run control daemons, gateways and targets; callers and targets use HTTP."""
 
     def __init__(self, root, gateways=2):
         self.group = ControlGroup(root)
@@ -94,7 +94,7 @@
             assert response.status == 200
 
     async def call(self, number, path, body=b"hello", **headers):
-        """Return status and body of the answer of one gateway to a request with a new id."""
+        """Return status and body of one gateway's response to a request with a new id."""
         sent = {
             "Host": HOST,
             "Authorization": f"Token {KEY}",
@@ -105,7 +105,7 @@
             return response.status, await response.read()
 
     async def until_all(self, path, status, body=None):
-        """Return once every gateway answers so."""
+        """Return once every gateway responds with this status and body."""
 
         async def settled():
             answers = [await self.call(number, path) for number in range(len(self.gateways))]
@@ -125,7 +125,7 @@
 
 
 def play(tmp_path, story, gateways=2):
-    """Run `story(site)`, bounded, on a site that is started before and stopped after it."""
+    """Start a site, run `story(site)` with a timeout, and stop the site."""
 
     async def bounded():
         site = Site(tmp_path, gateways)
--- a/tests/support/slow_relay.py
+++ b/tests/support/slow_relay.py
@@ -1,4 +1,4 @@
-"""Relays before control daemons that carry so many bytes a second into each."""
+"""Relays in front of control daemons with limited bandwidth towards each daemon."""
 
 import asyncio
 import contextlib
@@ -7,11 +7,11 @@
 
 
 class SlowRelay:
-    """Forward links; what goes to the daemon passes at a bounded rate on each connection."""
+    """Forward links; data to the daemon passes at a bounded rate on each connection."""
 
     def __init__(self, bytes_per_second):
         self.bytes_per_second = bytes_per_second
-        # Bytes that went to each daemon, by its address behind the relay.
+        # Bytes sent to each daemon, by its address behind the relay.
         self.carried = {}
         self._servers = []
         self._tasks = set()
--- a/tests/support/stage_burst.py
+++ b/tests/support/stage_burst.py
@@ -1,7 +1,7 @@
-"""Replay a burst of staged requests through pools, with admission as the daemon does it.
+"""Simulate a burst of staged requests on pools, with the daemon's admission control.
 
-Only time is simulated: queues hand out calls first come, first served, each
-target one call at a time. No room, no data centres, no failures.
+Only time is simulated: queues are first come, first served, and each target runs one call at a
+time. There is no limit of result memory, there are no data centres and no failures.
 """
 
 import heapq
@@ -14,14 +14,14 @@
 from traystall.passthrough.admission.forecast import PoolLoad
 from traystall.routes.models import BatchProfile, Route, Split, StagePlan
 
-# How often a request that waits to be let in asks again, and how long it waits at the most, in
-# seconds and as a part of its aim: as in the batcher.
+# Interval at which a request that waits for admission asks again, in seconds, and its longest wait
+# as a ratio of the route's `aim`. Both are those of the batcher.
 ASK_SECONDS = 0.05
 PATIENCE_PART = 0.2
 
 
 class SimPool:
-    """Hold one pool: its targets and what waits for them."""
+    """Hold one pool: its targets and its queue."""
 
     def __init__(self, targets: int, profile: BatchProfile):
         self.targets = targets
@@ -32,7 +32,7 @@
         self.calls = 0
 
     def load(self) -> PoolLoad:
-        """Return what admission is told of this pool."""
+        """Return the load of the pool as reported to admission."""
         full = self.profile.seconds(self.profile.batch)
 
         def waiting(priority, due):
@@ -42,7 +42,7 @@
 
 
 class Kind(msgspec.Struct, frozen=True):
-    """Describe one kind of request: its route, rate a second, pieces, and time for its stages."""
+    """Describe a kind of request: its route, requests a second, pieces, and time for its stages."""
 
     route: Route
     rate: float
@@ -51,7 +51,7 @@
 
 
 class Fate(msgspec.Struct):
-    """Tell what became of one request; `wait` is what was forecast when it was let in."""
+    """Hold the outcome of one request; `wait` is the wait that was forecast at its admission."""
 
     kind: str
     at: float
@@ -62,7 +62,7 @@
 
 
 class Burst:
-    """Play arrivals of some kinds, each of them by a seed of its own."""
+    """Simulate arrivals of some kinds from a seed."""
 
     def __init__(self, pools: dict[str, SimPool], kinds: list[Kind], seed: int = 1):
         self.pools = pools
@@ -74,7 +74,7 @@
         self._order = itertools.count()
 
     def run(self, seconds: float, factor, admit=None) -> list[Fate]:
-        """Play so many seconds; `factor(kind, time)` is how much more than usual comes."""
+        """Simulate `seconds`; `factor(kind, time)` scales the usual arrival rate."""
         self._admit = admit or self.book.admit
         for kind in self.kinds:
             self._schedule_arrivals(kind, seconds, factor)
@@ -165,7 +165,7 @@
 
 
 def chain(name: str, aim: float, *pools: str) -> Route:
-    """Return a route whose stages read one another in order."""
+    """Return a route whose stages each read the one before."""
     stages = tuple(StagePlan(pool, (i - 1,) if i else ()) for i, pool in enumerate(pools))
     return Route(name, "h", "/", (Split("engine"),), aim=aim, stages=stages)
 
--- a/tests/support/suspects.py
+++ b/tests/support/suspects.py
@@ -1,4 +1,4 @@
-"""The leader's part in quarantine, in memory: the real table, without a log."""
+"""An in-memory leader for quarantine: the real table of suspects, without a log."""
 
 from traystall.core import clock
 from traystall.quarantine.digests import make_key
@@ -13,7 +13,7 @@
 
 
 class LocalLeader:
-    """Answer guards, and tell all of them of each change; nobody is answered while `is_lost`."""
+    """Reply to guards and notify all of them of each change; raise while `is_lost`."""
 
     def __init__(self):
         self.table = SuspectTable()
@@ -30,7 +30,7 @@
         return guard
 
     def tell(self):
-        """Tell every guard what it lacks."""
+        """Send every guard the changes that it has not received."""
         for guard in self._guards:
             guard.held.take(to_wire(self.table, guard.held.version))
 
--- a/tests/support/variant_gateway.py
+++ b/tests/support/variant_gateway.py
@@ -1,7 +1,7 @@
-"""A gateway with a mechanism left out, or with naive decisions throughout.
+"""A gateway without some of its mechanisms, or with naive decisions throughout.
 
-The names of what to leave out come in the environment variable VARIANT, comma
-separated. The daemon itself is the real one; only decisions are replaced.
+The environment variable VARIANT names the mechanisms to disable, comma separated. The daemon
+itself is the real one; only decisions are replaced.
 """
 
 import itertools
@@ -16,34 +16,34 @@
 
 
 def without_shares():
-    """Send bulk work to targets without any share."""
+    """Send bulk work to targets without capacity shares."""
     routing.has_room = lambda row, priority, now: not row.availability.is_backing_off(now)
 
 
 def without_quick_slot():
-    """Keep no slot for quick work."""
+    """Reserve no slot for interactive work."""
     shares.reserved_targets = lambda targets, has_quick_work, quick_slots: frozenset()
 
 
 def without_windows():
-    """Never exceed the dealt share."""
+    """Never exceed the assigned share."""
     windows.on_duration = lambda row, seconds, least, was_limited: None
 
 
 def without_giving_up():
-    """Let a generation run on until the deadline itself."""
+    """Let a generation run until its deadline, even if it will miss it."""
     deadlines.will_miss_deadline = lambda elapsed, done, left, remaining: False
 
 
 def without_drop():
-    """Let work wait until its deadline, however little is left."""
+    """Let work wait until its deadline, however little time is left."""
     deadlines.minimum_time = lambda times, pipeline, from_stage, now: 0.0
     admission.minimum_time = deadlines.minimum_time
     deadlines.likely_time = deadlines.minimum_time
 
 
 def without_ratio():
-    """Take every target for equally fast."""
+    """Treat all targets as equally fast."""
     speeds.on_duration = lambda row, seconds, typical, now: None
     speeds.on_overdue = lambda row, elapsed, typical, now: None
 
@@ -54,14 +54,14 @@
 
 
 def without_holding():
-    """Start work whatever waits at the following stage."""
+    """Start work regardless of the queue at the following stage."""
     from traystall.gateway import dispatch
 
     dispatch.is_held_back = lambda waiter, waiting_next, slots_next: False
 
 
 def without_foresight():
-    """Ignore how long later stages make work wait, and how slow a target is."""
+    """Ignore the queueing times of later stages, and the slowness of a target."""
     queues_module.WaitTimes.record = lambda self, pool, seconds: None
     routing.can_finish = lambda row, waiter, now: True
 
@@ -72,7 +72,7 @@
 
 
 def without_classes():
-    """Serve work in the order of its arrival."""
+    """Serve work in order of arrival."""
     from traystall.gateway import dispatch
 
     queues_module.order = lambda waiters, clock: sorted(waiters, key=lambda w: w.since)
@@ -80,7 +80,7 @@
 
 
 def naive():
-    """Round robin, first in first out, three immediate retries, no admission."""
+    """Use round robin, first in first out, three immediate retries, and no admission control."""
     without_shares()
     without_drop()
     without_giving_up()
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Tests that are known to fail are passed over and printed, and only they."""
+"""Only tests that are known to fail are skipped, and they are printed."""
 
 import os
 import subprocess
@@ -51,14 +51,14 @@
     return done.returncode, done.stdout + done.stderr
 
 
-def test_listed_tests_alone_are_passed_over_and_printed(tmp_path):
+def test_only_listed_tests_are_skipped_and_printed(tmp_path):
     code, output = run(tmp_path)
     assert code == 0
     assert "1 passed, 2 deselected" in output
     assert SAID in output
 
 
-def test_listed_tests_can_be_run_all_the_same(tmp_path):
+def test_listed_tests_run_with_the_option(tmp_path):
     code, output = run(tmp_path, "--with-known-red")
     assert code == 1
     assert "2 failed, 1 passed" in output
@@ -66,14 +66,14 @@
     assert "passes again" not in output
 
 
-def test_listed_test_that_passes_again_is_told(tmp_path):
+def test_listed_test_that_passes_again_is_reported(tmp_path):
     listed = LINE.replace("test_red", "test_redder")
     code, output = run(tmp_path, "--with-known-red", listed=listed)
     assert code == 1
     assert "test_some.py::test_redder: passes again" in output
 
 
-def test_list_may_be_as_long_as_it_is_true(tmp_path):
+def test_all_tests_may_be_listed(tmp_path):
     names = ("test_red[1]", "test_red[2]", "test_redder", "test_red")
     listed = "\n".join(LINE.replace("test_red", name) for name in names)
     code, output = run(tmp_path, listed=listed)
@@ -81,7 +81,7 @@
     assert "3 deselected" in output
 
 
-def test_without_a_list_every_test_is_run(tmp_path):
+def test_every_test_runs_without_a_list(tmp_path):
     code, output = run(tmp_path, listed=None)
     assert code == 1
     assert "2 failed, 1 passed" in output
@@ -103,7 +103,7 @@
         ". | pytest, seed 1 | It fails. | issue 7",
     ],
 )
-def test_faulty_list_ends_the_run(tmp_path, listed):
+def test_malformed_list_ends_the_run(tmp_path, listed):
     code, output = run(tmp_path, listed=listed)
     assert code == pytest.ExitCode.USAGE_ERROR
     assert FILE_NAME in output
@@ -121,9 +121,9 @@
         ("test_b.py", "tests/a/test_b.py::test_c", False),
     ],
 )
-def test_line_names_itself_and_what_is_in_it(test, node_id, named):
+def test_line_applies_to_its_test_its_cases_and_its_file(test, node_id, named):
     assert KnownRed(test, "pytest", "It fails.", "issue 7").names(node_id) == named
 
 
-def test_list_of_the_tree_can_be_read():
+def test_list_of_the_repository_is_valid():
     read_known_red(ROOT / FILE_NAME)
