--- a/benchmarks/account.py
+++ b/benchmarks/account.py
@@ -1,8 +1,8 @@
-"""Say what one day lost, and to what: from the bench's report and, if given, its logs.
+"""Summarize the losses of one day from the bench's report and, if given, its logs.
 
     python -m benchmarks.account REPORT [LOG]
 
-REPORT is what `run --report` writes, LOG what the same run with `--log edge` prints.
+REPORT is the file that `run --report` writes, LOG the output of the same run with `--log edge`.
 """
 
 import json
@@ -16,7 +16,7 @@
 
 from benchmarks.compare.reports import Group, Report, read_report
 
-# Windows that earn less than this part of what is owed are listed.
+# Windows that earn a smaller ratio of the credit owed are listed.
 _WEAK_WINDOW = 0.85
 _PIECES = "pieces"
 _PASSED = "passed"
@@ -24,9 +24,9 @@
 
 
 class CallFill(msgspec.Struct):
-    """Sum the calls of one pool: how many, how full, and how many were not full in a crowd.
+    """Sum the calls of one pool: their number, their size, and partial calls despite a full queue.
 
-    The largest call that was seen is taken for a full one.
+    The largest observed call counts as a full one.
     """
 
     calls: int = 0
@@ -37,7 +37,7 @@
     targets: set[str] = set()
 
     def add(self, record: dict) -> None:
-        """Count one call as the log tells of it."""
+        """Add one call from its log record."""
         self.calls += 1
         self.pieces += record["pieces"]
         self.seconds += record["seconds"]
@@ -46,15 +46,15 @@
         self.targets.add(record["target"])
 
     def partial_in_a_crowd(self) -> int:
-        """Return the calls that were not full though a full one's pieces were waiting."""
+        """Return the number of partial calls made while a full call's pieces were waiting."""
         return sum(1 for taken, left in self.rows if taken < self.largest <= left)
 
 
 def account(report, log=None) -> None:
-    """Print parts and prices, classes, data centres, weak windows and, from a log, the calls."""
+    """Print the losses by cause and by group, and the figures of the log if one is given."""
     found = read_report(Path(report))
     print(f"worth {found.worth:.3f}, served {found.served:.3f}")
-    print(f"refused {found.refused:.3f}, failed {found.failed:.3f} of what is owed")
+    print(f"refused {found.refused:.3f}, failed {found.failed:.3f} of the credit owed")
     _print_losses(found)
     _print_groups("class", found.classes)
     _print_groups("data centre", found.zones)
@@ -69,7 +69,7 @@
 
 
 def decisions(lines) -> Iterator[dict]:
-    """Return the JSON records of a log; lines that are none are passed over."""
+    """Yield the JSON records of a log and skip all other lines."""
     for line in lines:
         start = line.find("{")
         if start < 0:
@@ -77,14 +77,14 @@
         try:
             record = json.loads(line[start:])
         except ValueError:
-            # The bench's own lines stand between the daemons'.
+            # The bench's own lines are mixed with those of the daemons.
             continue
         if isinstance(record, dict):
             yield record
 
 
 def fill_of_calls(records: list[dict]) -> dict[str, CallFill]:
-    """Return the calls of each pool."""
+    """Return the summed calls of each pool."""
     fills: dict[str, CallFill] = {}
     for record in records:
         if record.get("message") == _PIECES:
@@ -93,7 +93,7 @@
 
 
 class StageTimes(msgspec.Struct):
-    """Hold how long a stage of one route took, request by request, in milliseconds."""
+    """Hold the durations of one stage of a route for each request, in milliseconds."""
 
     seconds: list[float] = []
     waited: list[float] = []
@@ -101,7 +101,7 @@
     handed_over: list[float] = []
 
     def add(self, seconds: float, waited: float, called: float) -> None:
-        """Count one stage of one request; what its call leaves of it is the hand-over."""
+        """Add one request; the time outside of queue and call counts as hand-over."""
         self.seconds.append(seconds)
         self.waited.append(waited)
         self.called.append(called)
@@ -109,7 +109,7 @@
 
 
 def times_of_stages(records: list[dict]) -> dict[tuple[str, int], StageTimes]:
-    """Return the times of the stages of each route."""
+    """Return the durations of the stages of each route."""
     times: dict[tuple[str, int], StageTimes] = {}
     for record in records:
         if record.get("message") == _PASSED:
@@ -119,13 +119,13 @@
 
 
 def part_of(values: list[float], part: float) -> float:
-    """Return the value that `part` of the values don't exceed."""
+    """Return the value that a share of `ratio` of the values does not exceed."""
     ranked = sorted(values)
     return ranked[min(len(ranked) - 1, int(len(ranked) * part))]
 
 
 def refusals(records: list[dict]) -> Counter[tuple[str, bool]]:
-    """Count refusals before the first stage by route, and whether the caller had come back."""
+    """Count refusals before the first stage by route, and by whether the caller retried."""
     return Counter(
         (record["route"], record["came_back"])
         for record in records
@@ -149,13 +149,13 @@
 
 
 def _print_endings(found: Report):
-    print("\n| not served, last try | requests |\n|---|---|")
+    print("\n| not served, last attempt | requests |\n|---|---|")
     for name, count, _ in found.unserved_by:
         print(f"| {name} | {count} |")
 
 
 def _print_calls(records):
-    print("\n| pool | targets | calls | pieces a call | largest | busy s | partial in a crowd |")
+    print("\n| pool | targets | calls | pieces a call | largest | busy s | partial, full queue |")
     print("|---|---|---|---|---|---|---|")
     for name, fill in sorted(fill_of_calls(records).items()):
         mean = fill.pieces / fill.calls
@@ -166,7 +166,7 @@
 
 
 def _print_stages(records):
-    print("\n| stage, ms (10, 50, 90 of 100) | made | in all | waited | called | handed over |")
+    print("\n| stage, ms (p10, p50, p90) | run | total | queue | call | hand-over |")
     print("|---|---|---|---|---|---|")
     for (route, stage), times in sorted(times_of_stages(records).items()):
         columns = (times.seconds, times.waited, times.called, times.handed_over)
@@ -178,7 +178,7 @@
 
 
 def _print_refusals(records):
-    print("\n| refused before its stages | first | after coming back |\n|---|---|---|")
+    print("\n| refused before the first stage | first attempt | retry |\n|---|---|---|")
     counts = refusals(records)
     for route in sorted({route for route, _ in counts}):
         print(f"| {route} | {counts[route, False]} | {counts[route, True]} |")
--- a/benchmarks/admission_cost.py
+++ b/benchmarks/admission_cost.py
@@ -1,8 +1,8 @@
-"""Time one question to admission beside many requests under way.
+"""Time one admission decision by the number of active requests.
 
 Run with: python -m benchmarks.admission_cost
-A request that waits to be let in asks again every 0.05 s, so in a burst a batcher
-is asked hundreds of times a second.
+A request that waits for admission asks again every 0.05 s, so in a burst a batcher
+makes hundreds of decisions a second.
 """
 
 import time
@@ -22,7 +22,7 @@
 
 
 def measure(under_way: int) -> float:
-    """Return the microseconds of one question beside so many requests under way."""
+    """Return the microseconds of one decision with `under_way` active requests."""
     book = AdmissionController()
     for number in range(under_way):
         arrival = AdmissionRequest(f"r{number}", _ROUTE, _COUNTS, 1, 1e9, 6.0, f"m{number}")
@@ -36,9 +36,9 @@
 
 
 def main() -> None:
-    """Print a row for each number of requests under way."""
+    """Print a row for each number of active requests."""
     for under_way in (10, 100, 300, 1000):
-        print(f"{under_way:5} under way: {measure(under_way):7.0f} us a question")
+        print(f"{under_way:5} active: {measure(under_way):7.0f} us a decision")
 
 
 if __name__ == "__main__":
--- a/benchmarks/bursts.py
+++ b/benchmarks/bursts.py
@@ -1,8 +1,8 @@
-"""Attainment and cost by stage under the two bursts, ours against the naive version.
+"""Attainment and cost by stage under two bursts, compared with a naive gateway.
 
 Run with: python -m benchmarks.bursts --scenario hive --fault none --seeds 3
-Each cell starts real gateways, control daemons and fakes on loopback, offers a
-bounded open load, and stops. Both sides of a cell use the same seeds.
+Each cell starts real gateways, control daemons and fake targets on the loopback interface, offers
+a bounded open load, and stops. All variants of a cell use the same seeds.
 """
 
 import argparse
@@ -23,7 +23,7 @@
 
 
 class Stream(msgspec.Struct, frozen=True):
-    """Describe one Poisson stream of requests: a second's rate, a deadline in seconds."""
+    """Describe one Poisson stream of requests: rate a second, deadline in seconds."""
 
     name: str
     pipeline: str
@@ -36,7 +36,7 @@
 
 
 class Scenario(msgspec.Struct, frozen=True):
-    """Describe a burst: its bundle, streams, service times, and the pools that faults hit."""
+    """Describe a burst: its bundle, streams, service times, and the pool that faults affect."""
 
     bundle: str
     seconds: float
@@ -103,7 +103,7 @@
 
 
 class Outcome(msgspec.Struct):
-    """Hold what became of one request."""
+    """Hold the outcome of one request."""
 
     stream: str
     status: int
@@ -114,7 +114,7 @@
 
 
 def arrivals(scenario, seed, greedy):
-    """Return (time, stream, customer) in order of time."""
+    """Return (time, stream, customer) ordered by time."""
     rng = random.Random(seed)
     found = []
     for stream in scenario.streams:
@@ -128,7 +128,7 @@
 
 
 def _greedy_arrivals(scenario, rng):
-    """Let the limited customer send ten times its share of the burst."""
+    """Return requests of the rate-limited customer at ten times its share of the burst."""
     stream = scenario.streams[-1]
     rate = 10 * stream.rate / len(stream.customers) / 4
     at, found = stream.from_second, []
@@ -138,7 +138,7 @@
 
 
 async def offer(cluster, scenario, seed, greedy, kill_at, uneven=False):
-    """Offer the load and return the outcomes; uneven sends 5 parts of 9 to one gateway."""
+    """Offer the load and return the outcomes; uneven sends 5/9 of it to one gateway."""
     rng = random.Random(seed + 1)
     started = time.monotonic()
     connector = aiohttp.TCPConnector(limit=0)
@@ -202,7 +202,7 @@
 
 
 def inflict(cluster, scenario, fault):
-    """Make the first target of the faulty pool misbehave."""
+    """Apply a fault to the first target of the faulty pool."""
     name = cluster.pool(scenario.faulty_pool)[0]
     if fault == "slow":
         cluster.set_mode(name, factor=10.0)
@@ -228,7 +228,7 @@
 
 
 def figures(outcomes, busy):
-    """Return attainment by stream, wasted share, and busy seconds by pool."""
+    """Return attainment by stream, the wasted ratio, and busy seconds by pool."""
     names = sorted({o.stream for o in outcomes})
     useful = {o.request for o in outcomes if o.in_time}
     total = sum(sum(pool.values()) for pool in busy.values())
@@ -246,12 +246,12 @@
 
 
 def share(flags):
-    """Return the share of true values."""
+    """Return the ratio of true values."""
     return sum(flags) / len(flags) if flags else 0.0
 
 
 def summarize(runs):
-    """Return the median and spread of each share over the seeds."""
+    """Return the median and range of each ratio over the seeds."""
     names = [name for name, value in runs[0].items() if isinstance(value, float)]
     parts = []
     for name in names:
@@ -263,11 +263,11 @@
 
 
 def main():
-    """Run the chosen cells and print a line each."""
+    """Run the chosen cells and print one line for each."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--scenario", choices=SCENARIOS, action="append")
     parser.add_argument("--fault", choices=FAULTS, action="append")
-    parser.add_argument("--variant", action="append", help="ours, naive, or what to leave out")
+    parser.add_argument("--variant", action="append", help="ours, naive, or mechanisms to disable")
     parser.add_argument("--seeds", type=int, default=1)
     parser.add_argument("--json", action="store_true", help="also print every run")
     chosen = parser.parse_args()
--- a/benchmarks/compare/__init__.py
+++ b/benchmarks/compare/__init__.py
@@ -1,1 +1,1 @@
-"""Compare two checkouts on the users' bench: the same days and seeds, played side by side."""
+"""Compare two checkouts on the users' bench, with the same days and seeds side by side."""
--- a/benchmarks/compare/__main__.py
+++ b/benchmarks/compare/__main__.py
@@ -1,4 +1,4 @@
-"""Play days and seeds with two checkouts beside each other and print what differs.
+"""Run days and seeds of the bench with two checkouts and print the differences.
 
     python -m benchmarks.compare BENCH SITE OLD NEW --days=scale-1,scale-2 --why="..."
 
@@ -13,17 +13,17 @@
 from benchmarks.compare.plays import Bench, Play, play_all
 from benchmarks.compare.plots import draw
 
-# Seeds count up from here; any will do, as both sides get the same.
+# The first of consecutive seeds. Any value works, because both checkouts use the same seeds.
 _FIRST_SEED = 20_261_202
 _MOST_CAUSES = 12
 
 
 def compare(bench, site, old, new, days, why, seeds=3, jobs=4, folder="target/compare", plots=True):
-    """Play every day with every seed in both checkouts; print differences of the worth.
+    """Run every day with every seed in both checkouts; print differences of the worth.
 
     BENCH is the bench's program, SITE a site file, OLD and NEW two checkouts,
-    DAYS names of days of the site. SEEDS is how many seeds, JOBS how many plays
-    at a time. Reports and plots go to FOLDER.
+    DAYS names of days of the site. SEEDS is the number of seeds, JOBS the number of
+    parallel runs. Reports and plots are written to FOLDER.
     """
     out = Path(folder)
     out.mkdir(parents=True, exist_ok=True)
@@ -66,7 +66,7 @@
     print("\n| worth lost to | pairs | old | new | difference (95 %) | verdict |")
     print("|---|---|---|---|---|---|")
     for name, found in list(losses_by_cause(pairs).items())[:_MOST_CAUSES]:
-        # What is lost is better when it is less.
+        # For a loss, a lower value is better, so the verdict is stated as a direction.
         verdict = {"better": "more", "worse": "less"}.get(found.verdict(), found.verdict())
         print(f"| {name} | {_row(found, verdict)} |")
 
--- a/benchmarks/compare/differences.py
+++ b/benchmarks/compare/differences.py
@@ -1,4 +1,4 @@
-"""Paired differences between two sides, with confidence intervals. Pure; by scipy."""
+"""Paired differences between two sides, with confidence intervals computed by scipy."""
 
 from collections.abc import Iterable
 
@@ -11,9 +11,9 @@
 
 
 class Difference(msgspec.Struct, frozen=True):
-    """Hold the mean of paired differences (new less old) and its confidence interval.
+    """Hold the mean of paired differences (new minus old) and its confidence interval.
 
-    With fewer than two pairs there is no interval: `low` and `high` are infinite.
+    With fewer than two pairs the interval is unbounded: `low` and `high` are infinite.
     """
 
     pairs: int
@@ -24,7 +24,7 @@
     high: float
 
     def verdict(self) -> str:
-        """Return whether the interval tells the two sides apart."""
+        """Return which side is better, if the interval excludes zero."""
         if self.low > 0:
             return "better"
         if self.high < 0:
@@ -33,7 +33,7 @@
 
 
 def difference(old: list[float], new: list[float]) -> Difference:
-    """Return the difference of paired values; raise ValueError if they don't pair up."""
+    """Return the difference of paired values; raise ValueError if their numbers differ."""
     if len(old) != len(new) or not old:
         raise ValueError(f"{len(old)} old values and {len(new)} new ones make no pairs")
     deltas = [after - before for before, after in zip(old, new, strict=True)]
@@ -52,7 +52,7 @@
 
 
 def pair_up(played: Iterable[Played]) -> list[tuple[Played, Played]]:
-    """Return the plays of both sides that were finished with the same day and seed."""
+    """Return pairs of finished runs of both sides with the same day and seed."""
     sides: dict[tuple[str, int], dict[str, Played]] = {}
     for one in played:
         if one.report is not None:
@@ -65,7 +65,7 @@
 
 
 def losses_by_cause(pairs: list[tuple[Played, Played]]) -> dict[str, Difference]:
-    """Return for each part and price what it takes on either side, most first."""
+    """Return the loss of each part and price on either side, largest first."""
     names = sorted({name for pair in pairs for one in pair for name in one.report.losses()})
     found = {
         name: difference(
--- a/benchmarks/compare/plays.py
+++ b/benchmarks/compare/plays.py
@@ -1,4 +1,4 @@
-"""Play days of the users' bench in several checkouts and collect their reports."""
+"""Run days of the users' bench in several checkouts and collect their reports."""
 
 import subprocess
 from collections.abc import Iterable
@@ -11,7 +11,7 @@
 
 
 class Play(msgspec.Struct, frozen=True):
-    """Name one day to be played: in which checkout (`side`), and with which seed."""
+    """Describe one run: the checkout (`side`), the day, and the seed."""
 
     side: str
     checkout: Path
@@ -20,7 +20,7 @@
 
 
 class Played(msgspec.Struct, frozen=True):
-    """Hold what came of a play: its report, or why there is none."""
+    """Hold the result of a run: its report, or an error."""
 
     play: Play
     report: Report | None = None
@@ -28,7 +28,7 @@
 
 
 class Bench(msgspec.Struct, frozen=True):
-    """Name the bench's program, the site, where reports go, and why it is played."""
+    """Hold the bench's program, the site, the folder for reports, and the reason for the runs."""
 
     program: Path
     site: Path
@@ -36,11 +36,11 @@
     why: str
 
     def build(self, checkout: Path) -> None:
-        """Build a checkout, so that plays beside each other find it built."""
+        """Build a checkout once, before several runs use it in parallel."""
         subprocess.run([self.program, "build"], cwd=checkout, check=True, capture_output=True)
 
     def play(self, play: Play) -> Played:
-        """Play one day; a play that fails is told, not raised."""
+        """Run one day; a failure is returned as an error, not raised."""
         name = f"{self.site.stem}-{play.day}-{play.seed}-{play.side}"
         path = (self.folder / f"{name}.json").resolve()
         path.unlink(missing_ok=True)
@@ -58,7 +58,7 @@
 
 
 def play_all(bench: Bench, plays: Iterable[Play], jobs: int, tell) -> list[Played]:
-    """Play days, `jobs` at a time; `tell` is called with a line for each that has ended."""
+    """Run days, `jobs` at a time; `tell` is called with a line for each finished run."""
     plays = list(plays)
     played = []
     with ThreadPoolExecutor(jobs) as pool:
--- a/benchmarks/compare/plots.py
+++ b/benchmarks/compare/plots.py
@@ -1,4 +1,4 @@
-"""Draw the worth of each window of seconds, and what each cause takes, for both sides."""
+"""Plot the worth of each time window and the losses by cause, for both sides."""
 
 from pathlib import Path
 
@@ -14,7 +14,7 @@
 
 
 def draw(pairs, folder: Path) -> list[Path]:
-    """Write one picture a day and seed, and one of the causes; return their paths."""
+    """Write a plot for each day and seed and one of the causes; return the paths."""
     paths = [_draw_windows(pair, folder) for pair in pairs]
     return [*paths, _draw_causes(pairs, folder)] if pairs else []
 
--- a/benchmarks/compare/reports.py
+++ b/benchmarks/compare/reports.py
@@ -1,7 +1,7 @@
-"""Read what the bench reports of one day: worth, its parts, what was lost and to what.
+"""Read the bench's report of one day: its worth, the parts of it, and the losses by cause.
 
-A report is the JSON file that `run --report` writes. `worth` is what the bench's
-table calls so: weighted parts less prices, each as a fraction of the credit owed.
+A report is the JSON file that `run --report` writes. `worth` is the value of that name in the
+bench's table: weighted parts minus prices, each as a ratio of the credit owed.
 """
 
 from pathlib import Path
@@ -10,7 +10,7 @@
 
 
 class Part(msgspec.Struct, array_like=True, frozen=True):
-    """Hold one part of the worth: its name, its weight and how far it was reached."""
+    """Hold one part of the worth: its name, its weight and the ratio that was reached."""
 
     name: str
     weight: float
@@ -18,7 +18,7 @@
 
 
 class Price(msgspec.Struct, array_like=True, frozen=True):
-    """Hold one price: its name, the amount in its own unit, and what it takes of the worth."""
+    """Hold one price: its name, the amount in its own unit, and its deduction from the worth."""
 
     name: str
     amount: float
@@ -26,7 +26,7 @@
 
 
 class Group(msgspec.Struct, frozen=True):
-    """Count the requests of a class, of a data centre or of a window of seconds."""
+    """Count the requests of a class, of a data centre or of a time window."""
 
     name: str
     n: int
@@ -38,7 +38,7 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """Hold one day as the bench judged it; `breaks` names broken rules with their counts."""
+    """Hold the bench's results for one day; `breaks` counts rule violations by name."""
 
     worth: float = msgspec.field(name="G")
     served: float
@@ -54,12 +54,12 @@
     fault: str | None = None
 
     def losses(self) -> dict[str, float]:
-        """Return what each part and each price takes from a whole worth of 1."""
+        """Return the deduction of each part and each price from a full worth of 1."""
         taken = {part.name: part.weight * (1.0 - part.reached) for part in self.parts}
         taken |= {price.name: price.worth for price in self.prices}
         return {name: worth for name, worth in taken.items() if worth > 0}
 
 
 def read_report(path: Path) -> Report:
-    """Return the report in a file; raise OSError or msgspec.DecodeError if there is none."""
+    """Return the report in a file; raise OSError or msgspec.DecodeError if it is unreadable."""
     return msgspec.json.decode(path.read_bytes(), type=Report)
--- a/benchmarks/directory.py
+++ b/benchmarks/directory.py
@@ -1,10 +1,10 @@
-"""Measure what the directory of gateways costs while gateways are restarted in turn.
+"""Measure the cost of the gateway directory during a rolling restart of gateways.
 
     python -m benchmarks.directory [GATEWAYS] [RESTARTS]
 
-Gateways that watch one control daemon in one process, one restarted each 0.4 s.
-Printed are bytes a second for a gateway that isn't restarted, and processor time
-of the control daemon for making and encoding replies.
+Gateways in one process watch one control daemon; one gateway is restarted every 0.4 s.
+The output has bytes a second for a gateway that is not restarted, and the control daemon's
+processor time for building and encoding replies.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 
 async def measure(gateways: int, restarts: int) -> dict[str, float]:
-    """Return the figures of one rolling restart; bytes and seconds are a second."""
+    """Return the figures of one rolling restart; bytes and seconds are per second."""
     site = Site(gateways)
     await site.settle(60.0)
     steady = site.gateways[restarts:]
@@ -30,9 +30,13 @@
         "seconds": seconds,
         "directory bytes/s": _mean(g.directory_bytes for g in steady),
         "all bytes/s": _mean(g.reply_bytes for g in steady),
-        "replies with news/s": _mean(g.news for g in steady),
+        "replies with updates/s": _mean(g.news for g in steady),
     }
-    for name, index in (("directory bytes/s", 0), ("all bytes/s", 1), ("replies with news/s", 2)):
+    for name, index in (
+        ("directory bytes/s", 0),
+        ("all bytes/s", 1),
+        ("replies with updates/s", 2),
+    ):
         figures[name] = (figures[name] - _mean(b[index] for b in before)) / seconds
     figures["directory bytes a restart"] = figures["directory bytes/s"] * seconds / restarts
     figures["control replies, s/s"] = (site.control_seconds - control) / seconds
--- a/benchmarks/in_force.py
+++ b/benchmarks/in_force.py
@@ -1,12 +1,11 @@
-"""Measure from a recorded day how long changes and refusals took, as histograms.
+"""Measure the latency of configuration changes and refusals in a recorded day, as histograms.
 
     python -m benchmarks.in_force LOG [LOG ...]
 
-LOG is what the users' bench prints with `--log all`: each line begins with the
-simulated second and the instance. Printed are the seconds from the acceptance of
-a revision by the control group to its coming into force at each gateway (a
-gateway that was down meanwhile counts from its own start), and from the arrival
-of a request to its refusal.
+LOG is the output of the users' bench with `--log all`: each line begins with the simulated
+second and the instance. The output has the seconds from the acceptance of a revision by the
+control group until it is in force at each gateway (from the gateway's start, if the gateway was
+down in between), and from the arrival of a request to its refusal.
 """
 
 import re
@@ -16,14 +15,14 @@
 import msgspec
 
 _LINE = re.compile(r"^\s*(-?\d+\.\d+) (\S+) (\{.*\})\s*$")
-# A revision that a gateway took this shortly before it was called started belongs to that life.
+# A revision applied this shortly before the "started" record belongs to the new incarnation.
 _STARTING_SECONDS = 1.0
 # Upper bounds of the histogram's columns, in seconds.
 _BOUNDS = (0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0)
 
 
 class Event(msgspec.Struct, frozen=True):
-    """Hold one line: when (simulated seconds), where, what and its fields."""
+    """Hold one log line: simulated time in seconds, instance, message and fields."""
 
     at: float
     instance: str
@@ -48,7 +47,7 @@
 
 
 def seconds_to_force(events: list[Event]) -> list[float]:
-    """Return for each revision and gateway how long it took to come into force."""
+    """Return the time until each revision was in force at each gateway."""
     accepted: dict[int, float] = {}
     started: dict[str, float] = {}
     held: dict[str, int] = defaultdict(int)
@@ -72,7 +71,7 @@
 
 
 def seconds_to_refusal(events: list[Event]) -> list[float]:
-    """Return how long requests were held that were refused."""
+    """Return the time until the refusal of each refused request."""
     return [
         event.fields["seconds"]
         for event in events
@@ -81,7 +80,7 @@
 
 
 def row(name: str, values: list[float]) -> str:
-    """Return one row of the table: count, histogram, largest."""
+    """Return one row of the table: count, histogram, largest value."""
     counts = []
     low = float("-inf")
     for bound in (*_BOUNDS, float("inf")):
@@ -92,7 +91,7 @@
 
 
 def main() -> None:
-    """Print the table of all logs together."""
+    """Print one table for all logs together."""
     days = [read_events(path) for path in sys.argv[1:]]
     heads = [f"<= {bound}" for bound in _BOUNDS]
     print(f"| seconds | n | {' | '.join(heads)} | more | largest |")
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -1,11 +1,11 @@
-"""Weigh ways in which gateways keep to the limit of one target together, on a stepped clock.
+"""Compare methods for gateways to share the limit of one target, on a stepped clock.
 
     python -m benchmarks.limits [--seconds 60] [--seeds 3]
 
-Requests come at random, evenly or most of them at two gateways, after a quiet spell of a minute.
-Printed for each way, number of gateways and limit: the most that was sent in any 4 s beside what is
-allowed, the part of the limit that was used, the part of the requests that got none though demand
-was below the limit, and messages a second of one gateway.
+Requests arrive at random, spread evenly or mostly at two gateways, after an idle minute. The
+output has, for each method, number of gateways and limit: the largest number of requests in any
+4 s next to the number allowed, the used ratio of the limit, the ratio of requests that were denied
+though demand was below the limit, and messages a second of one gateway.
 """
 
 import asyncio
@@ -19,17 +19,17 @@
 SPAN_SECONDS = 4.0
 SIZES = (1, 9, 24, 195, 390)
 LIMITS = (0.1, 0.25, 1.0, 5.0, 20.0, 500.0)
-# Two gateways get so many times what the others get.
+# Ratio of the requests at each of two gateways to those at each other gateway.
 SKEW = 10.0
 
 
 def allowed(limit: float) -> float:
-    """Return what a target allows in 4 s."""
+    """Return the number of requests that a target allows in 4 s."""
     return 1.5 * limit * SPAN_SECONDS + 5
 
 
 def most_within(times: list[float]) -> int:
-    """Return the most in any 4 s."""
+    """Return the largest number of requests in any 4 s."""
     ends, most = 0, 0
     for number, at in enumerate(times):
         while ends < len(times) and times[ends] < at + SPAN_SECONDS:
@@ -39,7 +39,7 @@
 
 
 class Buckets:
-    """Give each of some gateways a bucket of one request, filled by its part of the limit."""
+    """Give each gateway a token bucket of one request, filled by its share of the limit."""
 
     def __init__(self, names: list[str], limit: float):
         self._interval = len(names) / limit
@@ -54,7 +54,7 @@
 
 
 def arrivals(size, per_second, is_skewed, seconds, source):
-    """Return moments and gateways of requests."""
+    """Return (time, gateway) of each request."""
     names = [f"g-{n}" for n in range(size)]
     weights = [SKEW if is_skewed and n < 2 else 1.0 for n in range(size)]
     now, found = 0.0, []
@@ -64,14 +64,14 @@
 
 
 def play_parts(size, limit, requests, senders=None):
-    """Return what was sent if each gateway, or each of a few, has a part of the limit."""
+    """Return the sent requests if each gateway, or each of a few, has a share of the limit."""
     names = [f"g-{n}" for n in range(senders or size)]
     buckets = Buckets(names, limit)
     return [at for at, name in requests if buckets.take(name, at)], 0
 
 
 async def play_permits(size, limit, requests, seed):
-    """Return what was sent if a gateway lends each request, and how many messages that took."""
+    """Return the sent requests if each needs a permit of a lender, and the number of messages."""
     site = LendingSite(_use_clock, size, limit, seed)
     began, site.messages = site.now, 0
     for at, name in requests:
@@ -86,7 +86,7 @@
 
 async def weigh(seconds: float, seeds: int) -> None:
     """Print the table."""
-    print("| way | gateways | limit | demand | most in 4 s (allowed) | used | messages |")
+    print("| method | gateways | limit | demand | most in 4 s (allowed) | used | messages |")
     print("|---|---|---|---|---|---|---|")
     for size in SIZES:
         for limit in LIMITS:
@@ -117,7 +117,7 @@
 
 
 def main(seconds: float = 60.0, seeds: int = 3) -> None:
-    """Weigh the ways over so many seconds and seeds."""
+    """Compare the methods over SECONDS and SEEDS."""
     asyncio.run(weigh(seconds, seeds))
 
 
--- a/benchmarks/link_frames.py
+++ b/benchmarks/link_frames.py
@@ -1,10 +1,10 @@
-"""Measure what a frame and a call cost on a link between two processes of ours.
+"""Measure the cost of a frame and of a call on a link between two processes.
 
     python -m benchmarks.link_frames
 
-Prints the processor time, in microseconds, of writing a frame, of reading one, and
-of a whole call over the loopback with both its ends in this process (two frames
-written, two read), each as the median of several turns.
+The output has the processor time, in microseconds, of writing a frame, of reading one, and of a
+whole call over the loopback interface with both ends in this process (two frames written, two
+read), each as the median of several rounds.
 """
 
 import asyncio
@@ -24,18 +24,18 @@
 
 
 class _MemoryWriter:
-    """Collect what a link would send."""
+    """Collect the bytes that a link would send."""
 
     def __init__(self):
         self.data = bytearray()
 
     def write(self, data):
-        """Keep it."""
+        """Append the bytes."""
         self.data += data
 
 
 def main() -> None:
-    """Print one line for each way of using a link."""
+    """Print one line for each operation."""
     for name, seconds in asyncio.run(_measure()).items():
         print(f"{name}: {statistics.median(seconds) * 1e6:.1f} us")
 
--- a/benchmarks/log_lines.py
+++ b/benchmarks/log_lines.py
@@ -1,9 +1,9 @@
-"""Compare what a log line costs the daemon: written at once, or by the thread.
+"""Compare the cost of a log line with a synchronous handler and with a background thread.
 
     python -m benchmarks.log_lines
 
-Prints the processor time of the whole process for each line, in microseconds, as
-the median of several turns, and the ratio. Lines go to the null device.
+The output has the processor time of the whole process for each line, in microseconds, as the
+median of several rounds, and the ratio. Lines go to the null device.
 """
 
 import logging
@@ -22,8 +22,8 @@
 
 
 def main() -> None:
-    """Print one line for each way, and the ratio."""
-    null = open(os.devnull, "w")  # noqa: SIM115 - for the life of the process.
+    """Print one line for each handler, and the ratio."""
+    null = open(os.devnull, "w")  # noqa: SIM115 - open until the process ends.
     ways = {
         "at once": logging.StreamHandler(null),
         "by the thread": BackgroundHandler(null.fileno(), LineBudget(10**9)),
--- a/benchmarks/play_days.py
+++ b/benchmarks/play_days.py
@@ -1,13 +1,13 @@
-"""Play days of our own on the users' bench and print broken rules, gate and score of each.
+"""Run generated days on the users' bench; print broken rules, gate and score of each.
 
     python -m benchmarks.play_days BENCH SITE --why "..." [--days FILE] [--only NAME,...]
                                    [--jobs N] [--small]
 
-BENCH is the bench's program and SITE a site file of it. Traffic, goals and marks
-are taken from the site's first quiet day; the troubles from benchmarks/days/,
-where `--days` names another file than troubles.toml.
-Days are written under target/days/ and played one after the other, `--jobs` at
-a time; `--small` plays the small twins of a large site.
+BENCH is the bench's program and SITE one of its site files. Traffic, goals and marks are taken
+from the site's first quiet day; the faults are those of benchmarks/days/troubles.toml unless
+`--days` names another file.
+Days are written to target/days/ and run in sequence, `--jobs` in parallel; `--small` uses the
+small variant of a large site.
 """
 
 import argparse
@@ -28,7 +28,7 @@
 
 
 def main() -> None:
-    """Play the days and print a table."""
+    """Run the days and print a table."""
     arguments = _parse()
     quiet = _quiet_day(Path(arguments.site))
     days = tomllib.loads(Path(arguments.days).read_text())["day"]
@@ -78,7 +78,7 @@
 
 
 def _result(output, errors) -> str:
-    """Return the line of the day and what broke, as the bench printed them."""
+    """Return the result line of the day and the broken rules from the bench's output."""
     row = re.search(r"^\S+ +\d+/\d+ +(.*)$", output, re.MULTILINE)
     broken = re.search(r"^rules broken: (.*)$", output, re.MULTILINE)
     text = " ".join(row.group(1).split()) if row else (errors or output).strip()[-200:]
--- a/benchmarks/quarantine.py
+++ b/benchmarks/quarantine.py
@@ -1,10 +1,10 @@
-"""Measure what it costs to know which requests end their targets.
+"""Measure the cost of detecting requests that crash their targets.
 
     python -m benchmarks.quarantine
 
-Printed are processor seconds of a burst of large bodies through a gateway (callers and target run
-in the same process) without a suspect, with one of another customer and with one of the same
-customer and route; and the bytes of one end of a target: report, log entry, what gateways are told.
+The output has the processor time of a burst of large bodies through a gateway (callers and target
+run in the same process) without a suspect, with a suspect of another customer, and with one of the
+same customer and route; and the bytes for one crash of a target: report, log entry, notifications.
 """
 
 import asyncio
@@ -27,14 +27,14 @@
 _REQUESTS = 200
 _AT_ONCE = 10
 _ROUNDS = 5
-# Connections end within so many seconds.
+# Time for connections to close, in seconds.
 _CLOSE_SECONDS = 0.1
 _GATEWAYS = 195
 _DAEMONS = 3
 
 
 def suspected(customer: str) -> LocalLeader:
-    """Return a leader that holds a request of `customer` against which three ends were reported."""
+    """Return a leader with three suspect requests of `customer`, two reported crashes each."""
     leader = LocalLeader()
     for number in range(3):
         ended = EndedRun(os.urandom(16), customer, "once", "plain", f"life-{number}", "refused")
@@ -66,11 +66,11 @@
 
 
 def measure_bursts() -> None:
-    """Print the median processor time a request in each case, the cases taken in turn."""
+    """Print the median processor time of a request in each case; the cases alternate."""
     cases = {
-        "nothing suspected": LocalLeader,
-        "a request of another customer": lambda: suspected("bert"),
-        "a request of the same customer and route": lambda: suspected("ana"),
+        "no suspect": LocalLeader,
+        "a suspect of another customer": lambda: suspected("bert"),
+        "a suspect of the same customer and route": lambda: suspected("ana"),
     }
     spent = {name: [] for name in cases}
     for _ in range(_ROUNDS):
@@ -84,7 +84,7 @@
 
 
 def measure_bytes() -> None:
-    """Print the bytes of the end of one target under 24 and under 64 requests."""
+    """Print the bytes for the crash of one target under 24 and under 64 requests."""
     for running in (24, 64):
         ended = tuple(
             EndedRun(
@@ -114,7 +114,7 @@
             suspects.report(ReportRuns((one,), (), (), 1786675920.6))
     told = len(encode(to_wire(suspects, suspects.version - 1)))
     everyone = told * _GATEWAYS * _DAEMONS
-    print(f"told: {told} B a suspect and reply, {everyone / 1000:.0f} KB to {_GATEWAYS} gateways")
+    print(f"notification: {told} B a suspect, {everyone / 1000:.0f} KB to {_GATEWAYS} gateways")
 
 
 if __name__ == "__main__":
--- a/benchmarks/registry.py
+++ b/benchmarks/registry.py
@@ -1,11 +1,11 @@
-"""Measure what a gateway takes from the registries at rest and while targets are restarted in turn.
+"""Measure a gateway's traffic from the registries, idle and during a rolling restart of targets.
 
     python -m benchmarks.registry [TARGETS] [DAEMONS]
 
-Each target reports once a second to one control daemon; the daemons follow each
-other, and one gateway follows all of them, in one process. Every message is
-encoded and decoded. Printed are bytes a second at the gateway and processor time
-of one daemon for making and encoding what it sends to it.
+Each target reports once a second to one control daemon; the daemons follow each other, and one
+gateway follows all of them, in one process. Every message is encoded and decoded. The output has
+bytes a second at the gateway, and the processor time of the daemons for building and encoding the
+replies to it.
 """
 
 import asyncio
@@ -21,13 +21,13 @@
 from traystall.rpc.messages import decode, encode
 
 _REPORT_SECONDS = 1.0
-# One target is restarted each so many seconds: it drains, goes, and comes with a new life.
+# Interval between restarts; a target drains, leaves, and returns with a new incarnation.
 _RESTART_EVERY = 0.4
 _DRAIN_SECONDS = 0.2
 
 
 class Tally:
-    """Count what one watcher gets."""
+    """Count the replies to one watcher."""
 
     def __init__(self):
         self.replies = 0
@@ -65,7 +65,7 @@
 
 
 class Links:
-    """Lead addresses to the registries of this process and count the replies."""
+    """Connect addresses to the registries of this process and count the replies."""
 
     def __init__(self, daemons: list[Daemon], tally: Tally):
         self._daemons = daemons
@@ -107,7 +107,7 @@
 
     @property
     def identity(self) -> str:
-        """Return the name of the present life."""
+        """Return the identity of the current incarnation."""
         return f"{self._name}/{self._life:020x}"
 
     async def run_forever(self) -> None:
@@ -117,7 +117,7 @@
             await asyncio.sleep(_REPORT_SECONDS)
 
     async def restart(self) -> None:
-        """Drain, go, and come again."""
+        """Drain, leave, and return as a new incarnation."""
         self._report(RegisteredState.DRAINING)
         await asyncio.sleep(_DRAIN_SECONDS)
         self._daemon.service.leave(self.identity)
@@ -141,7 +141,7 @@
 
 
 class Site:
-    """Run daemons, targets and the one gateway; `registry` is what the gateway knows."""
+    """Run daemons, targets and one gateway; `registry` is the gateway's registry."""
 
     def __init__(self, targets: int, daemons: int):
         self.daemons: list[Daemon] = []
@@ -161,7 +161,7 @@
         self._tasks = [asyncio.create_task(run) for run in (*runs, follower.follow_forever())]
 
     async def measure(self, seconds: float, restarts: bool) -> dict[str, float]:
-        """Return the counts a second over `seconds`, and the greatest age known at the gateway."""
+        """Return the counts a second over `seconds`, and the largest age known at the gateway."""
         before, began = self.tally.figures(), time.perf_counter()
         self.oldest_seconds = 0.0
         async with asyncio.timeout(seconds + 10.0), asyncio.TaskGroup() as group:
@@ -170,10 +170,10 @@
             group.create_task(self._watch_ages(seconds))
         passed = time.perf_counter() - began
         figures = {n: (v - before[n]) / passed for n, v in self.tally.figures().items()}
-        return figures | {"greatest age, s": self.oldest_seconds}
+        return figures | {"largest age, s": self.oldest_seconds}
 
     async def stop(self) -> None:
-        """End everything."""
+        """Stop all tasks."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -184,7 +184,7 @@
             await asyncio.sleep(_RESTART_EVERY - 1.5 * _DRAIN_SECONDS)
 
     async def _watch_ages(self, seconds):
-        """Note the greatest age of a row that is ready at its daemon, as the gateway knows it."""
+        """Record the largest age, at the gateway, of rows that are ready."""
         end = clock.monotonic() + seconds
         while clock.monotonic() < end:
             now = clock.monotonic()
@@ -203,7 +203,7 @@
 
 
 async def measure(targets: int, daemons: int, seconds: float) -> tuple[dict, dict]:
-    """Return the figures at rest and while targets restart."""
+    """Return the figures when idle and while targets restart."""
     site = Site(targets, daemons)
     await asyncio.sleep(2.5)
     at_rest = await site.measure(seconds, restarts=False)
@@ -217,7 +217,7 @@
     targets = int(sys.argv[1]) if len(sys.argv) > 1 else 160
     daemons = int(sys.argv[2]) if len(sys.argv) > 2 else 5
     at_rest, restarting = asyncio.run(measure(targets, daemons, 8.0))
-    print(f"{'a second':18} {'at rest':>10} {'restarting':>10}")
+    print(f"{'per second':18} {'idle':>10} {'restarting':>10}")
     for name, value in at_rest.items():
         print(f"{name:18} {value:10.3f} {restarting[name]:10.3f}")
 
--- a/benchmarks/rests.py
+++ b/benchmarks/rests.py
@@ -1,9 +1,9 @@
-"""Measure what keeping to the word of targets costs a request at one gateway.
+"""Measure the cost of honouring backoff requests and limits of targets at one gateway.
 
     python -m benchmarks.rests [--targets 640] [--calls 2000]
 
-Printed are microseconds of processor for each look at a pool of so many targets, a hundredth of
-them at rest, and for the head of one answer with a dozen headers.
+The output has the microseconds of processor time for each query of a pool in which one in a
+hundred targets is in backoff, and for the head of one response with a dozen headers.
 """
 
 import random
@@ -24,7 +24,7 @@
 
 
 def make_board(targets: int) -> TargetBoard:
-    """Return a board with one pool of so many targets, a hundredth of them at rest."""
+    """Return a board with one pool; one in a hundred targets is in backoff."""
     now = clock.monotonic()
     board = TargetBoard(random.Random(1), lambda pool: 10, DataCentreMonitor("here"))
     for number in range(targets):
@@ -36,7 +36,7 @@
 
 
 def microseconds(call, calls: int) -> float:
-    """Return the processor time of one call, the mean of `calls`."""
+    """Return the mean processor time of one call."""
     began = time.process_time()
     for _ in range(calls):
         call()
@@ -44,17 +44,17 @@
 
 
 def main(targets: int = 640, calls: int = 2000) -> None:
-    """Print the cost of each look."""
+    """Print the cost of each query."""
     board = make_board(targets)
     now = clock.monotonic()
     watch = TargetNoticeMonitor(HeaderNames(), lambda: None)
     head = ResponseHead(200, [(b"X-Header-%d" % n, b"value") for n in range(12)])
     connection, view = TargetConnection(), board.view("t1")
     looks = {
-        "targets to which work may go": lambda: board.usable("p", now, now),
-        "whether a pool rests as a whole": lambda: board.backoff_left("p", now),
-        "whom another gateway shall not choose": lambda: board.unavailable("p", now),
-        "head of an answer": lambda: watch.on_response_head(view, connection, head),
+        "usable targets": lambda: board.usable("p", now, now),
+        "backoff of the whole pool": lambda: board.backoff_left("p", now),
+        "targets that other gateways must avoid": lambda: board.unavailable("p", now),
+        "head of a response": lambda: watch.on_response_head(view, connection, head),
     }
     for name, look in looks.items():
         print(f"{name}: {microseconds(look, calls):.1f} us")
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -1,8 +1,8 @@
-"""Measure what parts of crowded pools cost: time of a question, memory of rows, bytes told.
+"""Measure the cost of capacity shares of crowded pools: time, memory, and message size.
 
 Run with: python -m benchmarks.shares
-A gateway that batches is asked once for each request that wants to begin; who asks has a row for
-each kind.
+A gateway that batches decides once for each request that is ready to start; each customer has a
+row for each kind of request.
 """
 
 import time
@@ -19,7 +19,7 @@
 
 
 def ask_all(customers: int) -> DemandTracker:
-    """Return the demand after each of so many customers has asked once in 10 s."""
+    """Return the demand after each customer has requested capacity once in 10 s."""
     demand = DemandTracker()
     for number in range(customers):
         now = number * _SECONDS / customers
@@ -30,14 +30,14 @@
 
 
 def microseconds(customers: int) -> float:
-    """Return the microseconds of a question."""
+    """Return the microseconds of one decision."""
     began = time.perf_counter()
     ask_all(customers)
     return (time.perf_counter() - began) / customers * 1e6
 
 
 def bytes_of_a_row(customers: int) -> float:
-    """Return the bytes that a row takes."""
+    """Return the bytes of a row."""
     tracemalloc.start()
     held = ask_all(customers)
     size, _ = tracemalloc.get_traced_memory()
@@ -46,7 +46,7 @@
 
 
 def bytes_told() -> tuple[int, int]:
-    """Return the bytes that a request and a reply grow by for the queues of three pools."""
+    """Return the added bytes in a request and in a reply for the queues of three pools."""
     request = {"pool": "portal", "request_id": "r", "stage": 0, "pieces": [0]}
     plain = len(encode(StageRequest(**request)))
     told = len(encode(StageRequest(**request, customer="c" * 12, waits=_WAITS, waits_age=0.2)))
@@ -59,9 +59,9 @@
     """Print a row for each number of customers, then the bytes."""
     for customers in (16, 1000, 16_000):
         size, micros = bytes_of_a_row(customers), microseconds(customers)
-        print(f"{customers:6} customers: {size:6.0f} bytes a row, {micros:5.0f} us a question")
+        print(f"{customers:6} customers: {size:6.0f} bytes a row, {micros:5.0f} us a decision")
     request, reply = bytes_told()
-    print(f"told with a request: {request} bytes, with a reply: {reply} bytes")
+    print(f"added to a request: {request} bytes, to a reply: {reply} bytes")
 
 
 if __name__ == "__main__":
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,9 +1,8 @@
 """Measure the slopes behind docs/CAPACITY.md, each at three sizes or more.
 
-Run with: python -m benchmarks.slopes NAME, where NAME is one of subscribers, gateways,
-customers, claims, tokens, routing, histograms, failover, restart, or all. CPU and memory
-are the operating system's own figures of the daemon's process; bytes are
-counted where frames are written and read.
+Run with: python -m benchmarks.slopes NAME, where NAME is one of subscribers, gateways, customers,
+claims, tokens, routing, histograms, failover, restart, or all. CPU and memory are the operating
+system's figures for the daemon's process; bytes are counted where frames are written and read.
 """
 
 import argparse
@@ -37,7 +36,7 @@
 STEADY_SECONDS = 6.0
 
 
-# ---- the operating system's figures ----
+# ---- figures of the operating system ----
 
 
 def cpu_seconds(pid):
@@ -71,7 +70,7 @@
 
 
 class Operator:
-    """Apply bundles straight through the client library."""
+    """Apply bundles through the client library, without the command line."""
 
     def __init__(self, cluster, extra):
         self.base = load_bundle(cluster.bundle).encoded | extra
@@ -79,7 +78,7 @@
         self.number = 1
 
     async def apply(self, changed=None):
-        """Apply the base with some rows changed, as the next number."""
+        """Apply the base with some changed entities, under the next number."""
         self.number += 1
         self.base = self.base | (changed or {})
         request = ttypes.ApplyRequest(
@@ -94,7 +93,7 @@
 
 
 class Watcher:
-    """Watch a control daemon as a gateway does, without serving anything."""
+    """Watch a control daemon as a gateway does, without serving requests."""
 
     def __init__(self, pool, address, number):
         self.link = pool.link(address)
@@ -126,7 +125,7 @@
 
 
 async def start_watchers(cluster, count):
-    """Return watchers, each on a link of its own, spread over the control daemons."""
+    """Return watchers with a separate link each, distributed over the control daemons."""
     watchers, tasks = [], []
     for number in range(count):
         pool = LinkPool(LinkIdentity(CLUSTER, "gateway", f"watcher-{number}"))
@@ -146,7 +145,7 @@
 
 
 def subscribers():
-    """Control daemon: CPU, bytes, memory and time to be in force, by watchers."""
+    """Control daemon: CPU, bytes, memory and time until in force, by watchers."""
     for count in (3, 30, 130, 390):
         with Cluster("nomina", gateways_per_place=0, log_level="warning") as cluster:
             uvloop.run(_subscribers(cluster, count))
@@ -175,7 +174,7 @@
 
 
 async def _steady(cluster, position):
-    """Return (share of a core, bytes a second, MB) of a control daemon with nothing to do."""
+    """Return (share of a core, bytes a second, MB) of an idle control daemon."""
     pid = cluster.controls[position].popen.pid
     address = cluster.control_http[position]
     before = cpu_seconds(pid), await asyncio.to_thread(rpc_bytes, address), time.perf_counter()
@@ -186,7 +185,7 @@
 
 
 async def _time_in_force(operator, watchers):
-    """Return the seconds from the accepted answer until the last watcher has the change."""
+    """Return the seconds from the accepting reply until the last watcher has the change."""
     name = f"changed-{operator.number}"
     changed = {f"customer/{name}": pack(Customer(name, ("queretaro-a",)))}
     accepted = await operator.apply(changed)
@@ -201,7 +200,7 @@
 def gateways():
     """A gateway without requests: CPU, bytes and memory, by gateways in a data centre.
 
-    The hive's bundle has ten targets in each data centre; each is asked every second.
+    The hive bundle has ten targets in each data centre; a gateway polls each every second.
     """
     for count in (1, 2, 4):
         with Cluster("hive", gateways_per_place=count, log_level="warning") as cluster:
@@ -223,7 +222,7 @@
 
 
 def customers_slope():
-    """Control daemon and gateway: memory, bytes of a delta and of a full copy, by customers."""
+    """Control daemon and gateway: memory, size of a delta and of a full copy, by customers."""
     for count in (1000, 4000, 16000):
         with Cluster("nomina", log_level="warning") as cluster:
             uvloop.run(_customers(cluster, count))
@@ -278,7 +277,7 @@
 
 
 def claims():
-    """Keyed claims a second through three replicas, by how many are asked for at once."""
+    """Keyed claims a second through three replicas, by concurrency."""
     with Cluster("nomina", gateways_per_place=0, log_level="warning") as cluster:
         uvloop.run(_claims(cluster))
 
@@ -296,7 +295,7 @@
         count = 200 + at_once * 12
         alone = alone or rate
         print(
-            f"claims at once {at_once:4}  {rate:6.0f} /s  ratio to one at once {rate / alone:5.1f}"
+            f"concurrent claims {at_once:4}  {rate:6.0f} /s  speed-up {rate / alone:5.1f}"
             f"  median {median * 1000:6.2f} ms  cpu a claim: leader"
             f" {spent[leader] / count * 1e6:5.0f} us, follower"
             f" {spent[(leader + 1) % 3] / count * 1e6:5.0f} us",
@@ -334,7 +333,7 @@
 
 
 def tokens():
-    """Streamed tokens a second that one gateway relays, by streams at once."""
+    """Streamed tokens a second that one gateway relays, by concurrent streams."""
     with Cluster("hive", log_level="warning", seconds={"traystall-pool": 0.0}) as cluster:
         uvloop.run(_tokens(cluster))
 
@@ -350,7 +349,7 @@
             spent = cpu_seconds(pid) - cpu
             total = sum(counts)
             print(
-                f"streams at once {at_once:3}  {total / seconds:7.0f} tokens/s"
+                f"concurrent streams {at_once:3}  {total / seconds:7.0f} tokens/s"
                 f"  {total / spent:7.0f} tokens a second of gateway cpu"
                 f"  ({spent / seconds * 100:.0f} % of a core)",
                 flush=True,
@@ -399,11 +398,11 @@
         )
 
 
-# ---- learned times ----
+# ---- learned durations ----
 
 
 def histograms():
-    """Memory of a gateway's learned times, by (pipeline, stage) pairs."""
+    """Memory of a gateway's learned durations, by (pipeline, stage) pairs."""
     from traystall.systems.estimates import TimeTable
 
     before, held = resident_mb(os.getpid()), []
@@ -423,7 +422,7 @@
 
 
 def failover():
-    """Time until a killed leader is replaced, in shortest election time-outs of 1 s."""
+    """Time until a killed leader is replaced, in minimum election timeouts of 1 s."""
     times = []
     for _ in range(5):
         with Cluster("nomina", gateways_per_place=0, log_level="warning") as cluster:
@@ -432,7 +431,7 @@
             times.append(uvloop.run(_until_claim(cluster, leader)))
     print(
         f"fail-over, kill to first commit: median {statistics.median(times):.2f}"
-        f" (min {min(times):.2f}, max {max(times):.2f}) election time-outs",
+        f" (min {min(times):.2f}, max {max(times):.2f}) election timeouts",
         flush=True,
     )
 
--- a/benchmarks/startup.py
+++ b/benchmarks/startup.py
@@ -1,9 +1,9 @@
-"""Show what the start of a daemon costs: processor time of its imports, by module.
+"""Measure the processor time of a daemon's imports, by module.
 
     python -m benchmarks.startup [MODULE ...]
 
-For each module: the least processor time of an import over several fresh
-interpreters, beside that of an empty one, and the modules that take most of it.
+For each module: the least processor time of an import over several fresh interpreters, next to
+that of an empty one, and the imported modules that take the most time.
 """
 
 import resource
@@ -13,7 +13,7 @@
 _DAEMONS = ("traystall.passthrough.daemon", "traystall.control.daemon", "traystall.gateway.daemon")
 _ROUNDS = 7
 _SHOWN = 12
-# Interpreter flags of the platform's start, and no bytecode of other versions in between.
+# The interpreter flags with which the platform starts the daemons.
 _FLAGS = ("-S",)
 
 
@@ -23,7 +23,7 @@
 
 
 def slowest_modules(module: str) -> list[tuple[float, str]]:
-    """Return the modules that an import takes most for by themselves, in milliseconds."""
+    """Return the imported modules with the most time of their own, in milliseconds."""
     done = subprocess.run(
         [sys.executable, *_FLAGS, "-X", "importtime", "-c", f"import {module}"],
         capture_output=True,
--- a/benchmarks/thin_path.py
+++ b/benchmarks/thin_path.py
@@ -1,4 +1,4 @@
-"""Measure one gateway against calling the same fakes directly, in one run.
+"""Compare requests through one gateway with direct calls of the same fake targets.
 
 Run with: python -m benchmarks.thin_path
 """
@@ -18,7 +18,7 @@
 
 
 async def _closed_loop(session, send):
-    """Return requests a second and the mean seconds of one, over a bounded closed loop."""
+    """Return requests a second and the mean duration in seconds of a bounded closed loop."""
     left = iter(range(REQUESTS))
     started = time.perf_counter()
 
@@ -86,7 +86,7 @@
 
 
 def main():
-    """Print one line a round."""
+    """Print one line for each round."""
     with Cluster("hive", log_level="warning") as cluster:
         uvloop.run(_measure(cluster))
 
--- a/benchmarks/transfer.py
+++ b/benchmarks/transfer.py
@@ -1,8 +1,8 @@
-"""Measure what a large configuration costs: on narrow links, in processor time and in memory.
+"""Measure the cost of a large configuration: on narrow links, in processor time and in memory.
 
 Run with: python -m benchmarks.transfer NAME, where NAME is one of links, packing, starts, feeding,
-or all. Sizes are bytes (KB: 1,000 bytes), times seconds unless named. The whole takes three to
-five minutes.
+or all. Sizes are bytes (KB: 1,000 bytes), times are seconds unless stated. All parts together take
+three to five minutes.
 """
 
 import argparse
@@ -30,7 +30,7 @@
 ROUNDS = 5
 CHANGED_ROUTES = 1_400
 FEEDING = (10, 28, 56)
-# The site that is calculated: gateways, control daemons, bits a second of a daemon's link.
+# The calculated site: gateways, control daemons, bits a second of a daemon's link.
 SITE_GATEWAYS, SITE_CONTROLS, SITE_BITS = 390, 7, 1_000_000_000
 
 
@@ -38,7 +38,7 @@
 
 
 def packing() -> None:
-    """Bytes and processor time to pack, unpack and apply a full copy, by entities."""
+    """Size and processor time to pack, unpack and apply a full copy, by entities."""
     for count in ENTITIES:
         entities = entities_of(plain_routes(count))
         copy = transfers.full_copy(entities, entities_digest(entities))
@@ -50,10 +50,10 @@
             f"entities {len(entities):6}  raw {raw / 1000:7.1f} KB"
             f"  packed {len(packed.data) / 1000:6.1f} KB (1/{raw / len(packed.data):.1f})"
             f"  pack {_milliseconds(transfers.pack_copy, copy):6.1f} ms"
-            f" (entities in order of keys {_milliseconds(transfers.pack_copy, in_order):5.1f} ms)"
+            f" (entities in key order {_milliseconds(transfers.pack_copy, in_order):5.1f} ms)"
             f"  unpack {_milliseconds(transfers.unpack_copy, packed.data):6.1f} ms"
             f"  apply {_milliseconds(_apply, copy):6.1f} ms"
-            f"  routes made of it {_milliseconds(documents.translate, 1, entities):7.1f} ms",
+            f"  routes built from it {_milliseconds(documents.translate, 1, entities):7.1f} ms",
             flush=True,
         )
         _print_kept(entities)
@@ -76,7 +76,7 @@
 
 
 def _print_kept(entities):
-    """Print the memory of as many packed copies as a source keeps, and of packing one."""
+    """Print the memory of the packed copies that a source retains, and of packing one."""
     copies = [
         transfers.full_copy(entities | {"n": bytes([n])}, bytes([n]))
         for n in range(transfers.KEPT_PACKED)
@@ -88,7 +88,7 @@
     held, peak = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     print(
-        f"  {len(copies)} packed copies kept {held / 1e6:6.2f} MB,"
+        f"  {len(copies)} packed copies retained {held / 1e6:6.2f} MB,"
         f" at most {peak / 1e6:6.2f} MB while one is packed",
         flush=True,
     )
@@ -98,7 +98,7 @@
 
 
 def starts() -> None:
-    """Bytes that a gateway which starts takes from its control daemons, by customers."""
+    """Bytes that a starting gateway reads from its control daemons, by customers."""
     for count in (1000, 4000, 16000):
         with Cluster("nomina", log_level="warning") as cluster:
             operator = Operator(cluster, customers(count))
@@ -116,7 +116,7 @@
                 f"{kind} {statistics.median(t.get(kind, 0) for t in taken) / 1000:.1f} KB"
                 for kind in ("watch", "transfer")
             )
-            print(f"customers {count:6}  raw {raw / 1000:7.1f} KB  a start takes {figures}")
+            print(f"customers {count:6}  raw {raw / 1000:7.1f} KB  a start reads {figures}")
 
 
 def _until_number(address, number):
@@ -165,7 +165,7 @@
         figures.append((after[0] - before[0], cpu - before[1], after[1] - cpu, seconds))
     for task in tasks:
         task.cancel()
-    # The first ones still fill what is empty at first.
+    # The first two changes are warm-up: they fill empty caches and configurations.
     sent, taking, cpu, seconds = (statistics.mean(f) for f in zip(*figures[2:], strict=True))
     print(
         f"gateways {count:4}  a change of {CHANGED_ROUTES} routes,"
@@ -208,7 +208,7 @@
 
 
 def _print_site(bytes_each, cpu_each):
-    """Print what the figures of one daemon make of a whole site: calculated, not measured."""
+    """Extrapolate the figures of one daemon to a whole site and print them as calculated."""
     each = SITE_GATEWAYS / SITE_CONTROLS
     print(
         f"calculated: {SITE_GATEWAYS} gateways on {SITE_CONTROLS} daemons, {each:.0f} each:"
--- a/benchmarks/transfer_gateway.py
+++ b/benchmarks/transfer_gateway.py
@@ -1,9 +1,9 @@
-"""Run one pass-through gateway in a process of its own and tell what it takes in.
+"""Run one pass-through gateway in a separate process and print its configuration events.
 
-Started by `benchmarks.transfer`. Each line of standard input is one JSON command, `start` (with
-the gateway's arguments), `stop` or `sample`; each line of standard output is one JSON object:
-`done` after a command, and the decisions `transfer` and `configuration` as they are made. `at` is
-the machine's monotonic clock and `cpu` this process's processor time, both in seconds.
+Started by `benchmarks.transfer`. Each line of standard input is one JSON command: `start` (with
+the gateway's arguments), `stop` or `sample`. Each line of standard output is one JSON object:
+`done` after a command, and the decisions `transfer` and `configuration` as they are logged. `at`
+is the machine's monotonic clock and `cpu` this process's processor time, both in seconds.
 """
 
 import asyncio
@@ -24,13 +24,13 @@
 
 
 def tell(event: str, **fields) -> None:
-    """Print one object."""
+    """Print one event as a JSON object."""
     line = {"event": event, "at": time.monotonic(), "cpu": time.process_time(), **fields}
     print(json.dumps(line), flush=True)
 
 
 class Decisions(logging.Handler):
-    """Tell the decisions about configurations."""
+    """Print the logged decisions about configurations."""
 
     def emit(self, record):
         if record.getMessage() in _TOLD:
@@ -39,7 +39,7 @@
 
 
 async def run() -> None:
-    """Obey commands until the input ends."""
+    """Execute commands until the input ends."""
     reader = asyncio.StreamReader()
     protocol = asyncio.StreamReaderProtocol(reader)
     await asyncio.get_running_loop().connect_read_pipe(lambda: protocol, sys.stdin)
--- a/benchmarks/transfer_links.py
+++ b/benchmarks/transfer_links.py
@@ -1,6 +1,6 @@
-"""Measure how a large configuration passes a narrow link; part of `benchmarks.transfer`.
+"""Measure the transfer of a large configuration over a narrow link; part of `benchmarks.transfer`.
 
-Three control daemons and the link are in this process, the gateway has one of its own. Sizes are
+Three control daemons and the link run in this process, the gateway in a separate one. Sizes are
 bytes (KB: 1,000 bytes), times seconds.
 """
 
@@ -19,21 +19,21 @@
 from traystall.catalog.deltas import entities_digest
 from traystall.catalog.transfers import full_copy, pack_copy
 
-# The sizes of routes, in bytes, as operators send them.
+# Sizes of the routes in the operators' format, in bytes.
 SIZES = (100_000, 300_000, 600_000, 1_600_000)
-# Bits a second of a gateway's link, and the part that other traffic takes.
+# Bits a second of a gateway's link, and the ratio that other traffic uses.
 WIDTHS = ((10_000_000, 0.5), (5_000_000, 0.5), (1_000_000, 0.0))
-# How long a gateway has been running when a change comes: longer than a watch is held.
+# Uptime of a gateway when a change arrives, in seconds: longer than a watch is held.
 RUNNING_SECONDS = 1.2
-# A case that takes longer has failed.
+# Timeout of a case, in seconds.
 CASE_SECONDS = 60.0
 
 
 class GatewayProcess:
-    """Drive a gateway in a process of its own."""
+    """Control a gateway in a separate process."""
 
     async def open(self) -> None:
-        """Start the process; the gateway in it does not run yet."""
+        """Start the process; the gateway in it is not started yet."""
         self._process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -45,12 +45,12 @@
         await self._until(lambda line: line["event"] == "done")
 
     async def order(self, do: str, **fields) -> dict:
-        """Have a command obeyed; return what was told at its end."""
+        """Send a command; return the event that completes it."""
         self._process.stdin.write(json.dumps({"do": do, **fields}).encode() + b"\n")
         return await self._until(lambda line: line["event"] == "done")
 
     async def until_in_force(self, number: int) -> dict:
-        """Return what was told when revision `number` came into force."""
+        """Return the event with which revision `number` came into force."""
 
         def is_in_force(line):
             return line["event"] == "configuration" and line["number"] >= number
@@ -73,7 +73,7 @@
 
 
 class Site:
-    """Hold three control daemons and one gateway behind a narrow link."""
+    """Run three control daemons, and one gateway behind a narrow link."""
 
     def __init__(self, root, bits: int, busy: float, gateway: GatewayProcess):
         self.group = ControlGroup(Path(root))
@@ -82,7 +82,7 @@
         self.number = 0
 
     async def start(self) -> None:
-        """Form the group."""
+        """Form the control group."""
         for name in "abc":
             self.group.listening[name] = free_address()
             self.group.addresses[name] = await self.link.add(name, self.group.listening[name])
@@ -90,7 +90,7 @@
         await self.group.until(lambda: self.group.live_voters() == {"a", "b", "c"})
 
     async def apply(self, number: int, entities) -> float:
-        """Put a revision in force at the group; return when it was acknowledged."""
+        """Put a revision into force at the control group; return when it was acknowledged."""
         self.number = number
         reply = await self.group.apply_entities("a", number, entities)
         acknowledged = time.monotonic()
@@ -105,7 +105,7 @@
         )
 
     async def start_gateway(self) -> None:
-        """Start the gateway anew, with nothing."""
+        """Start the gateway again, with empty state."""
         values = {
             "cluster": "test",
             "instance": "gateway",
@@ -121,7 +121,7 @@
     async def measure(self, begin, number: int, packed: int) -> str:
         """Return figures from `begin` until revision `number` is in force at the gateway.
 
-        `begin` returns the moment from which seconds count.
+        `begin` returns the start time of the measurement.
         """
         self.gateway.told.clear()
         cpu = (await self.gateway.order("sample"))["cpu"]
@@ -135,23 +135,23 @@
         cpu = (await self.gateway.order("sample"))["cpu"] - cpu
         ended = [line for line in self.gateway.told if line["event"] == "transfer"]
         return (
-            f"took {came / 1000:8.1f} KB  in force after {max(0.0, told['at'] - since):6.2f} s"
+            f"read {came / 1000:8.1f} KB  in force after {max(0.0, told['at'] - since):6.2f} s"
             f"  link's clock {link_seconds:6.2f} s"
-            f" (bytes alone {packed / self.link.free_bytes_per_second:6.2f})"
+            f" (minimum {packed / self.link.free_bytes_per_second:6.2f})"
             f"  transfers {len(ended)} failed chunks {sum(line['failures'] for line in ended)}"
             f"  cpu gateway {cpu:5.3f} s, daemons and link {rest:5.3f} s"
         )
 
     async def stop(self) -> None:
-        """End all but the gateway's process."""
+        """Stop all parts except the gateway's process."""
         await self.group.stop_all()
         await self.link.close()
 
 
 def links() -> None:
-    """A gateway: bytes, seconds and processor time of one revision, by size and link.
+    """One gateway: bytes, seconds and processor time of a revision, by size and link.
 
-    Seconds count from the acknowledgement of a change, or from the order to start a gateway.
+    Seconds count from the acknowledgement of a change, or from the command that starts a gateway.
     """
     uvloop.run(_links())
 
--- a/benchmarks/transfer_routes.py
+++ b/benchmarks/transfer_routes.py
@@ -1,4 +1,4 @@
-"""Make configurations of routes as the users' platform sends them, for benchmarks."""
+"""Generate configurations of routes in the format of the users' platform, for benchmarks."""
 
 import json
 import random
@@ -6,17 +6,17 @@
 import sys
 from pathlib import Path
 
-# At the end of the path: this folder must not hide the standard library's module of its name.
+# Appended last, so that this folder does not hide the standard library's `platform` module.
 sys.path.append(str(Path(__file__).resolve().parent.parent / "platform"))
 from traystall_platform import documents  # noqa: E402
 
-# Characters that may stand in a path and don't repeat: 6.3 of 8 bits each.
+# Characters that are allowed in a path; a random one has 6.3 bits of entropy in its 8 bits.
 _CHARACTERS = string.ascii_letters + string.digits + "-._~!$&'()*+,;=:@"
 _RANDOM_PATH_CHARACTERS = 3_600
 
 
 def route(number: int, path: str) -> dict:
-    """Return a route as operators send it, about 430 bytes besides its path."""
+    """Return a route in the operators' format, about 430 bytes without its path."""
     return {
         "name": f"route-{number:05d}",
         "host": f"tenant-{number % 40:02d}.example",
@@ -37,7 +37,7 @@
 
 
 def entities_of(routes: list[dict]) -> dict[str, bytes]:
-    """Return the entities of a document with these routes, checked."""
+    """Return the validated entities of a document with these routes."""
     services = [{"name": "llm", "max-conns": 370}, {"name": "other"}]
     document = {"version": 1, "routes": routes, "services": services}
     return documents.check(json.dumps(document).encode())[1]
@@ -49,7 +49,7 @@
 
 
 def of_size(size: int, is_random: bool) -> dict[str, bytes]:
-    """Return entities of about `size` bytes that compress well, or hardly."""
+    """Return entities of about `size` bytes; random ones hardly compress."""
     if not is_random:
         per_route = raw_size(entities_of(plain_routes(100))) / 100
         return entities_of(plain_routes(round(size / per_route)))
@@ -60,5 +60,5 @@
 
 
 def raw_size(entities: dict[str, bytes]) -> int:
-    """Return the bytes of entities and their keys."""
+    """Return the size of entities and their keys in bytes."""
     return sum(len(key) + len(value) for key, value in entities.items())
