--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -137,7 +137,7 @@
         self,
         bundle: str,
         controls: int = 3,
-        gateways_per_place: int = 1,
+        gateways_per_data_centre: int = 1,
         seconds=None,
         solo=(),
         control_flags=(),
@@ -167,7 +167,7 @@
         self._relay = relay
         self._make_fakes()
         self._make_controls()
-        self._make_gateways(gateways_per_place)
+        self._make_gateways(gateways_per_data_centre)
         self.bundle = self.write_bundle(1)
 
     # ---- lifecycle ----
@@ -325,14 +325,18 @@
         pairs = zip(names, self.control_addresses, strict=True)
         initial = ",".join(f"{name}={address}" for name, address in pairs)
         for number, name in enumerate(names):
-            place = self.places[number % len(self.places)]
+            data_centre = self.places[number % len(self.places)]
             self.controls.append(
                 self.make_control(
-                    name, place, self.control_addresses[number], self.control_http[number], initial
+                    name,
+                    data_centre,
+                    self.control_addresses[number],
+                    self.control_http[number],
+                    initial,
                 )
             )
 
-    def make_control(self, name, place, address, http_address, initial):
+    def make_control(self, name, data_centre, address, http_address, initial):
         """Return a control daemon that is not started yet."""
         listen = address
         if self._relay is not None:
@@ -341,7 +345,7 @@
         flags = {
             "cluster": CLUSTER,
             "instance": name,
-            "data-centre": place,
+            "data-centre": data_centre,
             "rpc-listen": listen,
             "rpc-advertise": address,
             "http-listen": http_address,
@@ -360,19 +364,19 @@
             self.folder / f"{name}.log",
         )
 
-    def _make_gateways(self, per_place):
-        count = per_place * len(self.places)
+    def _make_gateways(self, per_data_centre):
+        count = per_data_centre * len(self.places)
         ports = free_ports(count * 2)
         self.gateway_rpc = [f"{HOST}:{port}" for port in ports[count:]]
         for number in range(count):
-            place = self.places[number % len(self.places)]
+            data_centre = self.places[number % len(self.places)]
             address = f"{HOST}:{ports[number]}"
             first = number % len(self.control_addresses)
             controls = self.control_addresses[first:] + self.control_addresses[:first]
             flags = {
                 "cluster": CLUSTER,
                 "instance": f"gateway-{number + 1}",
-                "data-centre": place,
+                "data-centre": data_centre,
                 "listen": address,
                 "rpc-listen": self.gateway_rpc[number],
                 "control": ",".join(controls),
--- a/tests/support/control_group.py
+++ b/tests/support/control_group.py
@@ -13,7 +13,7 @@
 from traystall.core.exceptions import RpcError
 from traystall.rpc.gen.wire.ttypes import ApplyRequest, ReadRequest
 
-_QUICK = {
+_FAST_SETTINGS = {
     "election-min": "0.4",
     "election-max": "0.8",
     "heartbeat": "0.1",
@@ -57,8 +57,8 @@
             "rpc-advertise": address,
             "http-listen": self.http.setdefault(name, free_address()),
             "data-folder": self._root / name,
-            "join": ",".join(self._known(name)),
-            **_QUICK,
+            "join": ",".join(self._join_addresses(name)),
+            **_FAST_SETTINGS,
         }
         if founding:
             pairs = [f"{founder}={self.addresses[founder]}" for founder in self._founders]
@@ -72,7 +72,7 @@
         self.daemons[name] = daemon
         return daemon
 
-    def _known(self, name):
+    def _join_addresses(self, name):
         """Return the addresses for a join request: the founders and all running daemons."""
         names = {*self._founders, *self.daemons} - {name}
         return sorted(self.addresses[known] for known in names)
--- a/tests/support/crowd.py
+++ b/tests/support/crowd.py
@@ -24,14 +24,14 @@
 # Interval at which a request that waits for admission asks again, in seconds, and its longest wait
 # as a ratio of the route's `aim`. Both are those of the batcher.
 ASK_SECONDS = 0.05
-PATIENCE_PART = 0.2
+MAX_WAIT_RATIO = 0.2
 # Time from the end of a stage until the next stage is queued, in seconds: two hops each way.
 HAND_OVER_SECONDS = 0.012
 # Time until other gateways detect the loss of a batching gateway, in seconds.
-MISSED_SECONDS = 0.5
+LOSS_DETECTION_SECONDS = 0.5
 # Number of immediate retries of an impatient caller, and the delay between them.
-REPEATS = 3
-REPEAT_SECONDS = 0.05
+RETRIES = 3
+RETRY_SECONDS = 0.05
 
 IN_TIME = "in time"
 LATE = "late"
@@ -62,7 +62,7 @@
         return tuple(counts)
 
 
-class Fate(msgspec.Struct):
+class RequestOutcome(msgspec.Struct):
     """Hold the outcome of one request over all attempts, as its caller sees it."""
 
     kind: str
@@ -91,7 +91,7 @@
         self.calls: list[int] = []
         self.last_began = float("-inf")
         self.call_seconds = profile.seconds(1)
-        self.timer = float("-inf")
+        self.next_check_at = float("-inf")
 
     def rate(self, now: float) -> float:
         """Return the pieces a second that the targets run with full calls."""
@@ -109,11 +109,11 @@
 
 class _Request(msgspec.Struct, eq=False):
     kind: CrowdKind
-    fate: Fate
+    fate: RequestOutcome
     name: str
     counts: tuple[int, ...]
     since: float
-    repeats: int
+    retries_left: int
     asked_at: float = 0.0
     stage: int = 0
     left: int = 0
@@ -134,7 +134,7 @@
             tables = {name: Pool(name, batches=pool.profile) for name, pool in pools.items()}
             shared = shared_pools([kind.route for kind in kinds], tables)
         self.shared: frozenset[str] = shared
-        self.fates: list[Fate] = []
+        self.fates: list[RequestOutcome] = []
         self.repeaters: set[str] = set()
         self._customers = [f"c{i}" for i in range(customers)]
         self._weights = [1 / (i + 1) ** skew for i in range(customers)]
@@ -143,7 +143,7 @@
         self._order = itertools.count()
         self._jobs: dict[str, _Request] = {}
 
-    def run(self, seconds: float, factor, faults=()) -> list[Fate]:
+    def run(self, seconds: float, factor, faults=()) -> list[RequestOutcome]:
         """Simulate `seconds`; `factor(kind, time)` scales the usual arrival rate.
 
         `faults` are pairs of a time and a callable that is called with this crowd and that time.
@@ -197,18 +197,18 @@
         for request in list(self._jobs.values()):
             if request.began and not request.over and request.left:
                 request.left = 0
-                self.at(now + MISSED_SECONDS, lambda at, r=request: self._admit(r, at))
+                self.at(now + LOSS_DETECTION_SECONDS, lambda at, r=request: self._admit(r, at))
 
     # ---- requests ----
 
     def _arrive(self, kind, now):
         customer = self._random.choices(self._customers, self._weights)[0]
-        fate = Fate(kind.route.name, customer, now)
+        fate = RequestOutcome(kind.route.name, customer, now)
         self.fates.append(fate)
-        repeats = REPEATS if customer in self.repeaters else 1
+        retries_left = RETRIES if customer in self.repeaters else 1
         name = f"{kind.route.name}{len(self.fates)}"
         counts = kind.draw(self._random)
-        self._ask(_Request(kind, fate, name, counts, now, repeats, asked_at=now), now)
+        self._ask(_Request(kind, fate, name, counts, now, retries_left, asked_at=now), now)
 
     def _ask(self, request, now):
         if not any(request.counts):
@@ -218,25 +218,25 @@
         if verdict is None or verdict.admitted:
             return
         waited = now - request.asked_at
-        patience = request.kind.route.aim * PATIENCE_PART
+        patience = request.kind.route.aim * MAX_WAIT_RATIO
         if waited + max(ASK_SECONDS, verdict.seconds_to_admission) <= patience:
             self.at(now + ASK_SECONDS, lambda at: self._ask(request, at))
             return
         self.book.record_refusal(request.name, now)
         in_quarter = waited <= request.kind.route.aim / 4
         request.fate.outcome = REFUSED_AT_ONCE if in_quarter else REFUSED_LATE
-        if not request.repeats:
+        if not request.retries_left:
             return
-        request.repeats -= 1
-        eager = request.fate.customer in self.repeaters
-        back = now + (REPEAT_SECONDS if eager else verdict.retry_after)
+        request.retries_left -= 1
+        is_impatient = request.fate.customer in self.repeaters
+        back = now + (RETRY_SECONDS if is_impatient else verdict.retry_after)
 
-        def come_back(at):
+        def retry(at):
             request.asked_at = request.since = at
             self._ask(request, at)
 
-        if eager or verdict.retry_after:
-            self.at(back, come_back)
+        if is_impatient or verdict.retry_after:
+            self.at(back, retry)
 
     def _admit(self, request, now):
         """Request admission; an admitted or already started request asks for its next stage."""
@@ -248,7 +248,7 @@
             kind.route,
             request.counts,
             1,
-            left - self._usual(request, 0),
+            left - self._usual_seconds(request, 0),
             request.fate.at + kind.deadline - now,
             request.name,
             customer=request.fate.customer,
@@ -262,7 +262,7 @@
             return None
         return verdict
 
-    def _usual(self, request, stage):
+    def _usual_seconds(self, request, stage):
         stages = request.kind.route.stages
         return sum(
             self.pools[s.pool].profile.seconds(self.pools[s.pool].profile.batch)
@@ -279,7 +279,7 @@
         plan = request.kind.route.stages[request.stage]
         self.book.requested(request.name, request.stage)
         left = request.since + request.kind.route.aim - now - request.kind.engine_seconds
-        due = now + left - self._usual(request, request.stage)
+        due = now + left - self._usual_seconds(request, request.stage)
         request.left = request.counts[request.stage]
         pool = self.pools[plan.pool]
         pool.waiting += [
@@ -297,14 +297,14 @@
             )
             for piece in range(request.left)
         ]
-        self.at(request.fate.at + request.kind.deadline, lambda at: self._too_late(request))
+        self.at(request.fate.at + request.kind.deadline, lambda at: self._on_deadline(request))
         self._pump(pool, now)
 
-    def _too_late(self, request):
+    def _on_deadline(self, request):
         if not request.over:
-            self._lose(request)
+            self._abort(request)
 
-    def _lose(self, request):
+    def _abort(self, request):
         request.over, request.fate.outcome = True, LOST
         self.book.ended(request.name)
         self._free(request.held)
@@ -328,7 +328,7 @@
         for worker in pool.workers:
             if worker.free_at > now or not pool.waiting:
                 continue
-            if self._is_kept_back(pool, now):
+            if self._is_paced(pool, now):
                 break
             room = pool.profile.room_bytes - worker.taken
             target = FreeTarget(workers=len(pool.workers))
@@ -345,10 +345,10 @@
             life = worker.life
             self.at(
                 worker.free_at,
-                lambda at, w=worker, b=batch, life=life: self._called(pool, w, b, life, at),
+                lambda at, w=worker, b=batch, life=life: self._on_call_ended(pool, w, b, life, at),
             )
 
-    def _is_kept_back(self, pool, now):
+    def _is_paced(self, pool, now):
         """Return whether pacing delays the next call; if so, schedule a check at its start."""
         if not self.shared.intersection({name for name, p in self.pools.items() if p is pool}):
             return False
@@ -358,17 +358,17 @@
         )
         if begin <= now + 1e-6:
             return False
-        if pool.timer <= now:
-            pool.timer = begin
+        if pool.next_check_at <= now:
+            pool.next_check_at = begin
             self.at(begin, lambda at: self._pump(pool, at))
         return True
 
-    def _called(self, pool, worker, batch, life, now):
+    def _on_call_ended(self, pool, worker, batch, life, now):
         for job in batch:
             request = self._jobs[job.request_id]
             if life != worker.life:
                 if not request.over:
-                    self._lose(request)
+                    self._abort(request)
                 continue
             if request.over or job.stage != request.stage or not request.left:
                 worker.taken -= job.result_bytes
@@ -380,7 +380,7 @@
         self._pump(pool, now)
 
     def _stage_done(self, request, now):
-        self.book.made(request.name, request.stage, self._usual(request, 0), now)
+        self.book.made(request.name, request.stage, self._usual_seconds(request, 0), now)
         self._free(request.held)
         request.held, request.made = request.made, []
         request.stage += 1
@@ -393,7 +393,7 @@
         held.clear()
 
 
-def read_out(fates: list[Fate], by: str = "kind") -> dict[str, Counter[str]]:
+def read_out(fates: list[RequestOutcome], by: str = "kind") -> dict[str, Counter[str]]:
     """Return the outcomes of the requests by kind, or by customer."""
     found: dict[str, Counter[str]] = {}
     for fate in fates:
--- a/tests/support/directory_site.py
+++ b/tests/support/directory_site.py
@@ -67,7 +67,7 @@
         self.state = "serving"
         self.directory_bytes = 0
         self.reply_bytes = 0
-        self.news = 0
+        self.update_count = 0
         self._site = site
         self._number = number
         self._life = 0
@@ -118,7 +118,7 @@
         self._site.control_seconds += time.perf_counter() - began
         self.reply_bytes += len(body)
         self.directory_bytes += len(body) - len(encode(_without_directory(reply)))
-        self.news += reply.directory is not None or reply.directory_base is not None
+        self.update_count += reply.directory is not None or reply.directory_base is not None
         return decode(WatchReply, body)
 
     def _describe(self):
--- a/tests/support/emulator/runner.py
+++ b/tests/support/emulator/runner.py
@@ -78,7 +78,7 @@
         # Limit that all responses announce, in requests a second from all gateways together (None:
         # no limit is announced), and the time of the first announcement.
         self.limit = None
-        self.named_at = None
+        self.limit_announced_at = None
         self.address = ""
         self._server = None
         self._writers = set()
@@ -187,7 +187,7 @@
 
         Only requests between `begin` and `end` seconds after the first announced limit count.
         """
-        first, last = self.named_at + begin, self.named_at + end
+        first, last = self.limit_announced_at + begin, self.limit_announced_at + end
         times = [at for at, _ in self.arrivals if first < at < last]
         return max((bisect_left(times, at + seconds) - n for n, at in enumerate(times)), default=0)
 
@@ -265,7 +265,7 @@
             self.left_at = self.left_at or clock.monotonic()
         if self.limit is not None:
             headers[self.names.limit] = self.limit
-            self.named_at = self.named_at or clock.monotonic()
+            self.limit_announced_at = self.limit_announced_at or clock.monotonic()
         lines = [f"HTTP/1.1 {status} X"] + [f"{k}: {v}" for k, v in headers.items()]
         writer.write("\r\n".join(lines).encode() + b"\r\n\r\n")
 
--- a/tests/support/fake_targets.py
+++ b/tests/support/fake_targets.py
@@ -28,7 +28,7 @@
 _MAX_RECORDS = 200_000
 _MAX_EVENTS = 1000
 # One of this many cache events is lost, because real engines lose some.
-_EVENT_GAP = 7
+_LOST_EVENT_INTERVAL = 7
 
 
 class FakeSpec(msgspec.Struct):
@@ -152,7 +152,7 @@
     def note_prefix(self, prompt):
         """Publish that a prefix is cached, unless this event is one that is lost."""
         self.event_count += 1
-        if self.event_count % _EVENT_GAP:
+        if self.event_count % _LOST_EVENT_INTERVAL:
             prefix = xxhash.xxh64_hexdigest(str(prompt)[:64].encode())
             event = {"sequence": self.event_count, "kind": "stored", "prefix": prefix}
             self.events = [*self.events[-_MAX_EVENTS:], event]
--- a/tests/support/group.py
+++ b/tests/support/group.py
@@ -18,7 +18,7 @@
 
 STEP_SECONDS = 0.02
 # The first choices of a step are not faults; the fault density does not change their weights.
-_CALM_CHOICES = 9
+_FAULTLESS_CHOICES = 9
 
 
 class Group(Faults, Users):
@@ -31,7 +31,7 @@
         self.time = 0.0
         # The passage of time relative to messages, and the density of faults, in this schedule.
         self.pace = self.random.choice((0.15, 0.4, 1.0))
-        self.density = self.random.choice((0.5, 1.0, 2.0))
+        self.fault_density = self.random.choice((0.5, 1.0, 2.0))
         self.messages = []
         self.cuts = set()
         self.steps = 0
@@ -41,7 +41,7 @@
         self.accepted = {}
         self.dispatched = {}
         self.released = set()
-        self.given_back = set()
+        self.confirmed_releases = set()
         self.claims = 0
         self.revisions = [HeldRevision() for _ in range(2)]
         self.held_evacuations = [EvacuationCache() for _ in range(2)]
@@ -52,7 +52,7 @@
         self.hook = None
         self.effects = set()
         self.hosts = [self.host_class(self, f"c{n}") for n in range(size)]
-        self._refound()
+        self._form_group()
 
     # ---- running ----
 
@@ -80,7 +80,7 @@
                 host.boot()
         done = []
         for _ in range(2000):
-            self._calm_round()
+            self._run_faultless_round()
             leader = self.lease_holder()
             if leader is not None and self.random.random() < 0.2:
                 claim = self._claim_command(f"settle{self.steps}", "settle")
@@ -97,22 +97,22 @@
             raise Breach(
                 f"evacuations went back to version {places.version} from {self.acknowledged}"
             )
-        self.note_evacuated(places)
+        self.record_evacuated(places)
 
-    def _calm_round(self):
+    def _run_faultless_round(self):
         """Let every host tick, sync and receive its messages."""
         self.steps += 1
         self.time += STEP_SECONDS
-        self._refound()
+        self._form_group()
         for host in self.hosts:
             host.replica.tick(host.now)
             host.pump()
             host.sync(len(host.disk.jobs))
         for _ in range(len(self.messages)):
-            self._hand(*self.messages.pop(0))
+            self._hand_message(*self.messages.pop(0))
         self.check()
 
-    def _refound(self):
+    def _form_group(self):
         """Form the group again if every replica is empty, as the daemons do."""
         if all(h.runs and not h.replica.log.last_index for h in self.hosts):
             if not self.committed:
@@ -147,7 +147,7 @@
                 (0.25, self.crash),
                 (0.8, self._reboot),
                 (0.25, self.freeze),
-                (0.8, self._thaw),
+                (0.8, self._unfreeze),
                 (0.15, self.cut),
                 (0.3, self._cut_link),
                 (0.5, self._heal),
@@ -156,10 +156,10 @@
                 (0.12, self.wipe),
                 (0.8, self._repair),
                 (0.4, self._hand_over),
-                (0.3, self._refound),
+                (0.3, self._form_group),
             ]
-        weights = [weight for weight, _ in choices[:_CALM_CHOICES]]
-        weights += [weight * self.density for weight, _ in choices[_CALM_CHOICES:]]
+        weights = [weight for weight, _ in choices[:_FAULTLESS_CHOICES]]
+        weights += [weight * self.fault_density for weight, _ in choices[_FAULTLESS_CHOICES:]]
         return self.random.choices([action for _, action in choices], weights)[0]
 
     # ---- network ----
@@ -180,9 +180,9 @@
         for _ in range(min(len(self.messages), self.random.randint(1, 5))):
             last = len(self.messages) - 1
             position = 0 if self.random.random() < 0.85 else self.random.randint(0, last)
-            self._hand(*self.messages.pop(position))
+            self._hand_message(*self.messages.pop(position))
 
-    def _hand(self, sender, message):
+    def _hand_message(self, sender, message):
         name = message.to.split("/")[0]
         host = next((h for h in self.hosts if h.name == name), None)
         if host is None or not host.alive or (sender, name) in self.cuts:
--- a/tests/support/group_faults.py
+++ b/tests/support/group_faults.py
@@ -43,7 +43,7 @@
         if host is not None:
             host.frozen = True
 
-    def _thaw(self):
+    def _unfreeze(self):
         host = self._any(lambda h: h.frozen)
         if host is not None:
             host.frozen = False
--- a/tests/support/group_users.py
+++ b/tests/support/group_users.py
@@ -37,7 +37,7 @@
     def _claimed(self, host, key, claim_id, result):
         if result.outcome is not ClaimOutcome.WON:
             return
-        if claim_id in self.given_back:
+        if claim_id in self.confirmed_releases:
             raise Breach(f"{claim_id} was released and won {key} again")
         if claim_id in self.released:
             return
@@ -45,13 +45,13 @@
             # The run has provably not started: the claimant releases it and never dispatches it.
             self.released.add(claim_id)
             release = Release("customer", key, claim_id, self.time)
-            host.propose(release, lambda outcome: self._gave_back(claim_id, outcome))
+            host.propose(release, lambda outcome: self._on_released(claim_id, outcome))
             return
         self.dispatch(key, claim_id)
 
-    def _gave_back(self, claim_id, outcome):
+    def _on_released(self, claim_id, outcome):
         if outcome is LedgerOutcome.DONE:
-            self.given_back.add(claim_id)
+            self.confirmed_releases.add(claim_id)
 
     def dispatch(self, key, claim_id):
         """Record a dispatch; the resend of a claim counts as the same dispatch."""
@@ -89,18 +89,18 @@
         host = self._any(lambda h: h.runs and h.replica.is_leader)
         if host is None:
             return
-        place, evacuated = self.random.choice(PLACES), self.random.random() < 0.5
-        command = OrderEvacuation(place, evacuated, "ana", self.time)
-        host.propose(command, lambda result: self._evacuated(place, evacuated, result))
+        data_centre, evacuated = self.random.choice(PLACES), self.random.random() < 0.5
+        command = OrderEvacuation(data_centre, evacuated, "ana", self.time)
+        host.propose(command, lambda result: self._evacuated(data_centre, evacuated, result))
 
-    def _evacuated(self, place, evacuated, result):
+    def _evacuated(self, data_centre, evacuated, result):
         """Check that an acknowledged order holds, and that its version never changes contents."""
-        if (place in result.places.data_centres) != evacuated:
-            raise Breach(f"an order for {place} was acknowledged and not carried out")
-        self.note_evacuated(result.places)
+        if (data_centre in result.places.data_centres) != evacuated:
+            raise Breach(f"an order for {data_centre} was acknowledged and not carried out")
+        self.record_evacuated(result.places)
         self.acknowledged = max(self.acknowledged, result.places.version)
 
-    def note_evacuated(self, places):
+    def record_evacuated(self, places):
         """Record the evacuated data centres at a version, as observed on any host."""
         known = self.evacuated.setdefault(places.version, places.data_centres)
         if known != places.data_centres:
@@ -116,7 +116,7 @@
         held.take(to_wire(host.state.evacuations.places))
         if held.version < before:
             raise Breach("a gateway went back to an earlier version of the evacuations")
-        self.note_evacuated(held.places)
+        self.record_evacuated(held.places)
 
     def _watch(self):
         """Update a gateway's revision from any running host, however old its state."""
--- a/tests/support/limit_soak.py
+++ b/tests/support/limit_soak.py
@@ -25,7 +25,7 @@
 SIZES = (3, 9, 24)
 
 
-class Day:
+class Scenario:
     """Run one scenario."""
 
     def __init__(self, seed: int, use_clock):
@@ -33,7 +33,7 @@
         size, limit = self._random.choice(SIZES), self._random.choice(LIMITS)
         self._site = LendingSite(use_clock, size, limit, seed)
         self._names = 0
-        self._wrong: list[str] = []
+        self._violations: list[str] = []
         # (from, to, limit) of each period without a change of the limit.
         self._periods: list[tuple[float, float, float | None]] = []
         self._since = self._site.now
@@ -48,7 +48,7 @@
             await self._site.press(self._random.uniform(0.5, 4.0), per_second)
             await self._random.choice((self._end, self._cut, self._freeze, self._change))()
         self._close_period()
-        return self._broken()
+        return self._find_violations()
 
     async def _end(self):
         site = self._site
@@ -83,7 +83,7 @@
         if any(others):
             await site.press(self._random.uniform(0.8, 5.0), 40.0, others)
         if site.limit is not None and permits.covers(LIFE, permit):
-            self._wrong.append(
+            self._violations.append(
                 f"a permit was valid after its end, {site.now - permit.valid_until:.1f} s"
             )
 
@@ -92,17 +92,17 @@
         site = self._site
         self._close_period()
         site.limit = self._random.choice((*LIMITS, None))
-        word = UNLIMITED if site.limit is None else AnnouncedLimit(site.limit)
+        announced = UNLIMITED if site.limit is None else AnnouncedLimit(site.limit)
         site.now += 0.6
         for permits in site.gateways.values():
-            permits.observe_answer(LIFE, word, site.now, "r")
+            permits.observe_answer(LIFE, announced, site.now, "r")
 
     def _close_period(self):
         self._periods.append((self._since, self._site.now, self._site.limit))
         self._since = self._site.now + KNOWN_SECONDS
 
-    def _broken(self):
-        found = list(self._wrong)
+    def _find_violations(self):
+        found = list(self._violations)
         for begins, ends, limit in self._periods:
             if limit is None:
                 continue
@@ -132,20 +132,20 @@
         clock.monotonic = now
 
     try:
-        return asyncio.run(Day(seed, use_clock).play())
+        return asyncio.run(Scenario(seed, use_clock).play())
     finally:
         clock.monotonic = real
 
 
 def main(seeds: int = 10, first: int = 1) -> None:
     """Run SEEDS scenarios from the seed FIRST on, and print the violations."""
-    broken = 0
+    failed = 0
     for seed in range(first, first + seeds):
         found = play_day(seed)
-        broken += bool(found)
+        failed += bool(found)
         for line in found:
             print(f"seed {seed}: {line}", flush=True)
-    print(f"{seeds} scenarios, {broken} with violations")
+    print(f"{seeds} scenarios, {failed} with violations")
 
 
 if __name__ == "__main__":
--- a/tests/support/narrow_link.py
+++ b/tests/support/narrow_link.py
@@ -46,12 +46,12 @@
         # Time that the link has been in use by its own clock, in seconds.
         self.seconds = 0.0
         self._credit_bytes = 0.0
-        self._still = False
-        self._silent: set[str] = set()
-        self._turns: collections.deque[_Connection] = collections.deque()
+        self._is_stalled = False
+        self._stalled_daemons: set[str] = set()
+        self._connections: collections.deque[_Connection] = collections.deque()
         self._servers: list[asyncio.Server] = []
         self._tasks: set[asyncio.Task] = set()
-        self._carrier = asyncio.create_task(self._carry_forever())
+        self._carrier = asyncio.create_task(self._distribute_forever())
 
     async def add(self, name: str, target: str) -> str:
         """Return the address of a relay to the control daemon `name`, which listens at `target`."""
@@ -65,19 +65,19 @@
 
     def stand_still(self) -> None:
         """Stall all data in both directions until `go_on`; no connection is closed."""
-        self._still = True
+        self._is_stalled = True
 
     def go_on(self) -> None:
         """End the stall that `stand_still` started."""
-        self._still = False
+        self._is_stalled = False
 
     def silence(self, name: str) -> None:
         """Stall all data between the gateway and one daemon for good; no connection is closed."""
-        self._silent.add(name)
+        self._stalled_daemons.add(name)
 
     def reset(self, name: str) -> None:
         """Reset the gateway's connections to one daemon as if it ended; pending data is lost."""
-        for connection in list(self._turns):
+        for connection in list(self._connections):
             if connection.name == name:
                 connection.close()
 
@@ -92,7 +92,7 @@
 
     def is_held(self, name: str) -> bool:
         """Return whether the data of a daemon is stalled now."""
-        return self._still or name in self._silent
+        return self._is_stalled or name in self._stalled_daemons
 
     async def _serve(self, name, target, reader, writer):
         task = asyncio.current_task()
@@ -117,23 +117,23 @@
             if is_gateway:
                 await self._relay_gateway(name, (reader, writer), (inner_reader, inner_writer))
             else:
-                await _first(_pump(reader, inner_writer), _pump(inner_reader, writer))
+                await _wait_for_first(_pump(reader, inner_writer), _pump(inner_reader, writer))
         finally:
             inner_writer.transport.abort()
 
     async def _relay_gateway(self, name, outer, inner):
         connection = _Connection(name, outer[1])
-        self._turns.append(connection)
+        self._connections.append(connection)
         try:
-            await _first(
+            await _wait_for_first(
                 connection.fill(inner[0]),
                 _pump(outer[0], inner[1], lambda: self.is_held(name)),
                 connection.closed.wait(),
             )
         finally:
-            self._turns.remove(connection)
+            self._connections.remove(connection)
 
-    async def _carry_forever(self):
+    async def _distribute_forever(self):
         before = clock.monotonic()
         while True:
             await asyncio.sleep(_TURN_SECONDS)
@@ -141,17 +141,19 @@
             passed = min(now - before, _LONGEST_TURN_SECONDS)
             before = now
             self.seconds += passed
-            if not self._still:
+            if not self._is_stalled:
                 self._credit_bytes += passed * self.free_bytes_per_second
-                self._take_turns()
+                self._distribute()
 
-    def _take_turns(self):
+    def _distribute(self):
         """Distribute the bandwidth of one turn; bandwidth that no connection needs is lost."""
         idle = 0
-        while self._credit_bytes > 0 and idle < len(self._turns):
-            connection = self._turns[0]
-            self._turns.rotate(-1)
-            sent = 0 if connection.name in self._silent else connection.send(_SEGMENT_BYTES)
+        while self._credit_bytes > 0 and idle < len(self._connections):
+            connection = self._connections[0]
+            self._connections.rotate(-1)
+            sent = (
+                0 if connection.name in self._stalled_daemons else connection.send(_SEGMENT_BYTES)
+            )
             idle = 0 if sent else idle + 1
             self._credit_bytes -= sent
             self.delivered[connection.name] += sent
@@ -175,13 +177,13 @@
             await self._until_below(_QUEUE_BYTES)
         await self._until_below(1)
 
-    def send(self, most):
-        """Send at most `most` bytes to the gateway; return the number of bytes sent."""
+    def send(self, max_bytes):
+        """Send at most `max_bytes` to the gateway; return the number of bytes sent."""
         if self.closed.is_set() or self._writer.is_closing():
             return 0
-        data = bytes(self._waiting[:most])
+        data = bytes(self._waiting[:max_bytes])
         if data:
-            del self._waiting[:most]
+            del self._waiting[:max_bytes]
             self._writer.write(data)
             self._sent.set()
         return len(data)
@@ -223,7 +225,7 @@
         await writer.drain()
 
 
-async def _first(*coroutines):
+async def _wait_for_first(*coroutines):
     """Return once one of the coroutines has ended; cancel the others."""
     tasks = [asyncio.create_task(coroutine) for coroutine in coroutines]
     try:
--- a/tests/support/power.py
+++ b/tests/support/power.py
@@ -18,7 +18,7 @@
 from traystall.storage.folder import DataFolder
 
 
-class PowerCut(Exception):
+class PowerFailure(Exception):
     """Interrupt a machine at any point of its work."""
 
 
@@ -29,8 +29,8 @@
         self.path = path
         self._rng = rng
         # Hard links to removed files, so that their inodes are not reused for new files.
-        self._held = path.parent / f"{path.name}.held"
-        self._held.mkdir()
+        self._hard_links = path.parent / f"{path.name}.held"
+        self._hard_links.mkdir()
         # The contents at the last sync by inode, and the durable directory entries by name.
         self._synced: dict[int, bytes] = {}
         self._names: dict[str, int] = {}
@@ -39,7 +39,7 @@
         """Record the sync of a file or of the folder itself."""
         now = self._files()
         for name, found in now.items():
-            held = self._held / str(found)
+            held = self._hard_links / str(found)
             if not held.exists():
                 os.link(self.path / name, held)
         if inode == self.path.stat().st_ino:
@@ -60,7 +60,7 @@
             inode = before if before == after else self._rng.choice((before, after))
             if inode is not None:
                 left[name] = self._survivor(inode, contents.get(inode))
-        for folder in (self.path, self._held):
+        for folder in (self.path, self._hard_links):
             shutil.rmtree(folder)
             folder.mkdir()
         for name, data in left.items():
@@ -104,24 +104,24 @@
     def open(self) -> None:
         """Recover the contents of the folder."""
         self.folder = DataFolder(str(self.files.path))
-        _SYNCED_BY.append(self)
+        _SYNCING_DISKS.append(self)
         try:
             recovered = self.folder.open("test", self._name)
         finally:
-            _SYNCED_BY.pop()
+            _SYNCING_DISKS.pop()
         self.hard_state = recovered.hard_state
         self.snapshot = recovered.log.snapshot
         first, last = recovered.log.snapshot_index + 1, recovered.log.last_index
         self.entries = recovered.log.between(first, last) if last >= first else []
 
     def sync(self, count):
-        """Write the first jobs; raise PowerCut if the power fails."""
+        """Write the first jobs; raise PowerFailure if the power fails."""
         done, self.jobs = self.jobs[:count], self.jobs[count:]
-        _SYNCED_BY.append(self)
+        _SYNCING_DISKS.append(self)
         try:
             self.folder.write([write for job in done for write in job["writes"]])
         finally:
-            _SYNCED_BY.pop()
+            _SYNCING_DISKS.pop()
         return done
 
     def on_sync(self, descriptor) -> None:
@@ -130,7 +130,7 @@
         if self.syncs_left is not None:
             self.syncs_left -= 1
             if self.syncs_left < 0:
-                raise PowerCut
+                raise PowerFailure
         self.files.on_sync(inode)
 
     def lose_power(self) -> None:
@@ -142,13 +142,15 @@
 
 
 # The disk whose syncs are running; the data folder has no reference to the test.
-_SYNCED_BY: list[PowerDisk] = []
+_SYNCING_DISKS: list[PowerDisk] = []
 
 
 @pytest.fixture
 def lossy_syncs(monkeypatch):
     """Intercept every sync of a data folder, so that none reaches the real disk."""
-    monkeypatch.setattr(folder_module.os, "fsync", lambda number: _SYNCED_BY[-1].on_sync(number))
+    monkeypatch.setattr(
+        folder_module.os, "fsync", lambda number: _SYNCING_DISKS[-1].on_sync(number)
+    )
 
 
 class PowerHost(Host):
@@ -169,7 +171,7 @@
         """Sync as the daemon does; a power failure stops the whole host at once."""
         try:
             super().sync(count)
-        except PowerCut:
+        except PowerFailure:
             self.lose_power()
 
     def lose_power(self):
@@ -196,7 +198,7 @@
         self._disks += 1
         return PowerDisk(self._path / f"disk{self._disks}", host.name, self.random)
 
-    def arm(self):
+    def schedule_power_failure(self):
         """Let the power of one machine fail within its next syncs."""
         host = self._any(lambda h: h.runs)
         if host is not None:
@@ -210,7 +212,7 @@
 
     def _choose(self):
         if self.random.random() < 0.05:
-            return self.arm
+            return self.schedule_power_failure
         if self.random.random() < 0.004:
             return self.lose_all_power
         if self.random.random() < 0.03:
--- a/tests/support/raw_target.py
+++ b/tests/support/raw_target.py
@@ -18,10 +18,10 @@
         self.faults = list(faults)
         self.runs: list[dict] = []
         self.seen: list[str] = []
-        # A request with this text in its body ends the target, which restarts after `back_seconds`.
+        # A request with this text in its body ends the target; it restarts after `restart_seconds`.
         self.ends_on = ""
         self.ends = 0
-        self.back_seconds = 0.3
+        self.restart_seconds = 0.3
         # Retry-After value of the responses that request a backoff.
         self.rest = ""
         # Limit that all responses announce, in requests a second (None: no limit is announced),
@@ -30,7 +30,7 @@
         self.arrivals = []
         self.address = ""
         self._server = None
-        self._open = set()
+        self._writers = set()
 
     async def start(self):
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -42,25 +42,25 @@
 
     async def stop(self):
         self._server.close()
-        for writer in list(self._open):
+        for writer in list(self._writers):
             writer.transport.abort()
 
-    async def _end_and_come_back(self):
+    async def _end_and_restart(self):
         self.ends += 1
         await self.stop()
-        await asyncio.sleep(self.back_seconds)
+        await asyncio.sleep(self.restart_seconds)
         host, _, port = self.address.rpartition(":")
         self._server = await asyncio.start_server(self._serve, host, int(port))
 
     async def _serve(self, reader, writer):
-        self._open.add(writer)
+        self._writers.add(writer)
         try:
             while await self._serve_one(reader, writer):
                 pass
         except (ConnectionError, asyncio.IncompleteReadError, asyncio.CancelledError):
             pass
         finally:
-            self._open.discard(writer)
+            self._writers.discard(writer)
             writer.close()
 
     async def _serve_one(self, reader, writer):
@@ -91,7 +91,7 @@
             return True
         self.runs.append({"attempt": attempt, "key": headers.get(KEY_HEADER.lower(), "")})
         if self.ends_on and self.ends_on in body:
-            self.coming_back = asyncio.create_task(self._end_and_come_back())
+            self.restart_task = asyncio.create_task(self._end_and_restart())
             return False
         return await self._answer(writer, fault, attempt, json.loads(body))
 
--- a/tests/support/release_hosts.py
+++ b/tests/support/release_hosts.py
@@ -9,11 +9,11 @@
     """Send and receive whole entries only; a part ends the link, as an unknown method does."""
 
     # Whether this identity ran a release with parts before: one may then still be in transit.
-    knew_parts = False
+    ran_with_parts = False
 
     def receive(self, message, now):
         if isinstance(message, EntryPart | EntryPartReply):
-            if message.to == self.identity and not self.knew_parts:
+            if message.to == self.identity and not self.ran_with_parts:
                 raise Breach(
                     f"{self.identity} received {type(message).__name__}, which it does not know"
                 )
@@ -33,14 +33,14 @@
 class RollingHost(Host):
     """Start with a random release at each boot."""
 
-    knew_parts = False
+    ran_with_parts = False
 
     def boot(self):
         self.replica_class = self.group.random.choice((Replica, ReplicaWithoutParts))
-        self.knew_parts |= self.replica_class is Replica
+        self.ran_with_parts |= self.replica_class is Replica
         super().boot()
-        self.replica.knew_parts = self.knew_parts
+        self.replica.ran_with_parts = self.ran_with_parts
 
     def wipe(self):
-        self.knew_parts = False
+        self.ran_with_parts = False
         super().wipe()
--- a/tests/support/rest_soak.py
+++ b/tests/support/rest_soak.py
@@ -19,11 +19,11 @@
 from traystall.registry.models import TargetReport
 
 DAY_SECONDS = 4.0
-PER_SECOND = 60
+REQUESTS_PER_SECOND = 60
 # Requests in transit may still arrive for SLACK_SECONDS after a backoff has begun, and up to
-# MOST_IN_REST requests later in it.
+# MAX_REQUESTS_IN_BACKOFF requests later in it.
 SLACK_SECONDS = 0.5
-MOST_IN_REST = 2
+MAX_REQUESTS_IN_BACKOFF = 2
 # Time until a newly announced limit holds, and the span in which it is checked, in seconds.
 KNOWN_SECONDS = 0.6
 SPAN_SECONDS = 1.0
@@ -33,10 +33,10 @@
 STREAMS = ("/events/x", "/staged/x")
 FAULTS = ("failed", "shed without the mark", "closed after running", "not run", "garbage")
 STATUSES = {200, 500, 502, 503, 504}
-UPKEEP = ("/pieces/free", "/report")
+INTERNAL_PATHS = ("/pieces/free", "/report")
 
 
-class Life(msgspec.Struct):
+class IncarnationRecord(msgspec.Struct):
     """Hold the demands of one incarnation of a target, and the requests that reached it."""
 
     name: str
@@ -46,12 +46,12 @@
     # (from, to, requests a second) of each period with an announced limit.
     limits: list[tuple[float, float, float]] = []
 
-    def broken(self) -> list[str]:
+    def violations(self) -> list[str]:
         """Return the requests that violate the demands of the target."""
         found = []
         for at, seconds in self.rests:
             inside = [p for t, p in self.arrivals if at + SLACK_SECONDS < t < at + seconds]
-            if len(inside) > MOST_IN_REST:
+            if len(inside) > MAX_REQUESTS_IN_BACKOFF:
                 found.append(
                     f"{self.name}: {len(inside)} in a backoff of {seconds} s, {set(inside)}"
                 )
@@ -59,13 +59,13 @@
             late = [
                 path
                 for t, path in self.arrivals
-                if t > self.left_at + SLACK_SECONDS and not path.endswith(UPKEEP)
+                if t > self.left_at + SLACK_SECONDS and not path.endswith(INTERNAL_PATHS)
             ]
             if late:
                 found.append(f"{self.name}: {len(late)} after it announced leaving, {set(late)}")
-        return found + self._beyond()
+        return found + self._limit_violations()
 
-    def _beyond(self):
+    def _limit_violations(self):
         """Return the violations of the announced limits."""
         found = []
         for begins, ends, limit in self.limits:
@@ -76,15 +76,15 @@
         return found
 
 
-class Day:
+class Scenario:
     """Run one scenario."""
 
     def __init__(self, seed: int):
         self._random = random.Random(seed)
         self._runners: dict[str, tuple[str, Runner]] = {}
         self._started: dict[str, int] = {}
-        self._lives: list[Life] = []
-        self._wrong: list[str] = []
+        self._incarnations: list[IncarnationRecord] = []
+        self._violations: list[str] = []
         # The start of each target's current limit, and its past periods with a limit.
         self._limited_at: dict[str, float] = {}
         self._limits: dict[str, list[tuple[float, float, float]]] = {}
@@ -100,19 +100,21 @@
         async with EmulatedGateway(table(stages=STAGES), []) as self._gateway:
             for name in self._runners:
                 self._report(name, 1000)
-            trouble = asyncio.create_task(self._trouble())
+            injection = asyncio.create_task(self._inject_faults())
             calls = []
-            for _ in range(int(DAY_SECONDS * PER_SECOND)):
+            for _ in range(int(DAY_SECONDS * REQUESTS_PER_SECOND)):
                 calls.append(asyncio.create_task(self._call()))
-                await asyncio.sleep(1 / PER_SECOND)
-            trouble.cancel()
+                await asyncio.sleep(1 / REQUESTS_PER_SECOND)
+            injection.cancel()
             with contextlib.suppress(asyncio.CancelledError):
-                await trouble
+                await injection
             await asyncio.gather(*calls)
         for name, (_, runner) in self._runners.items():
-            self._end_life(name)
+            self._end_incarnation(name)
             await runner.stop()
-        return self._wrong + [line for life in self._lives for line in life.broken()]
+        return self._violations + [
+            line for record in self._incarnations for line in record.violations()
+        ]
 
     def _report(self, name, started):
         pool, runner = self._runners[name]
@@ -128,28 +130,35 @@
         except aiohttp.ClientError as error:
             # A stream whose target ended cannot continue: it is cut, and must not look complete.
             if path not in STREAMS:
-                self._wrong.append(f"{path}: {error!r}")
+                self._violations.append(f"{path}: {error!r}")
             return
         if status not in STATUSES:
-            self._wrong.append(f"{path}: {status}")
+            self._violations.append(f"{path}: {status}")
         if status == 200 and path not in STREAMS and body != b"answer to hello":
-            self._wrong.append(f"{path}: {body!r}")
-
-    async def _trouble(self):
-        events = (self._rest, self._rest, self._rest, self._leave, self._fail, self._start_again)
-        events += (self._limit,)
+            self._violations.append(f"{path}: {body!r}")
+
+    async def _inject_faults(self):
+        events = (
+            self._request_backoff,
+            self._request_backoff,
+            self._request_backoff,
+            self._leave,
+            self._fail,
+            self._restart,
+        )
+        events += (self._change_limit,)
         while True:
             await asyncio.sleep(self._random.uniform(0.05, 0.2))
             await self._random.choice((*events, self._evacuate))(
                 self._random.choice(list(self._runners))
             )
 
-    async def _rest(self, name):
+    async def _request_backoff(self, name):
         _, runner = self._runners[name]
         runner.rests.append(str(round(self._random.uniform(0.6, 2.5), 2)))
         runner.rests_marked = self._random.random() < 0.7
 
-    async def _limit(self, name):
+    async def _change_limit(self, name):
         """Change or remove the limit that a target announces."""
         self._close_limit(name)
         runner = self._runners[name][1]
@@ -175,28 +184,30 @@
         await asyncio.sleep(0.02)
         self._gateway.evacuate()
 
-    async def _start_again(self, name):
+    async def _restart(self, name):
         """Restart a target; it is reported at once, or after its first responses."""
         _, runner = self._runners[name]
         runner.end()
-        self._end_life(name)
+        self._end_incarnation(name)
         await asyncio.sleep(self._random.uniform(0.0, 0.1))
         await runner.start_again()
         if self._random.random() < 0.5:
             await asyncio.sleep(0.15)
         self._report(name, self._started[name] + 1000)
 
-    def _end_life(self, name):
+    def _end_incarnation(self, name):
         _, runner = self._runners[name]
         self._close_limit(name)
         rests = list(zip(runner.asked_at, map(float, runner.asked_for), strict=True))
         limits = self._limits.pop(name, [])
-        life = Life(f"{name}@{self._started[name]}", rests, runner.left_at, runner.arrivals, limits)
-        self._lives.append(life)
+        record = IncarnationRecord(
+            f"{name}@{self._started[name]}", rests, runner.left_at, runner.arrivals, limits
+        )
+        self._incarnations.append(record)
         runner.rests.clear()
         runner.asked_at, runner.asked_for, runner.arrivals = [], [], []
         runner.leaves, runner.left_at = False, None
-        runner.limit, runner.named_at = None, None
+        runner.limit, runner.limit_announced_at = None, None
 
 
 def play_day(seed: int) -> list[str]:
@@ -204,20 +215,20 @@
 
     async def bounded():
         async with asyncio.timeout(DAY_SECONDS * 5):
-            return await Day(seed).play()
+            return await Scenario(seed).play()
 
     return asyncio.run(bounded())
 
 
 def main(seeds: int = 10, first: int = 1) -> None:
     """Run SEEDS scenarios from the seed FIRST on, and print the violations."""
-    broken = 0
+    failed = 0
     for seed in range(first, first + seeds):
         found = play_day(seed)
-        broken += bool(found)
+        failed += bool(found)
         for line in found:
             print(f"seed {seed}: {line}", flush=True)
-    print(f"{seeds} scenarios, {broken} with violations")
+    print(f"{seeds} scenarios, {failed} with violations")
 
 
 if __name__ == "__main__":
--- a/tests/support/site.py
+++ b/tests/support/site.py
@@ -59,7 +59,7 @@
 
     def __init__(self, root, gateways=2):
         self.group = ControlGroup(root)
-        self._gateways_wanted = gateways
+        self._gateway_count = gateways
         self.gateways = []
         self.runners = []
 
@@ -67,7 +67,7 @@
         await asyncio.gather(*(self.group.start(name, founding=True) for name in "abc"))
         await self.group.until(lambda: self.group.live_voters() == {"a", "b", "c"})
         self.session = aiohttp.ClientSession()
-        for number in range(self._gateways_wanted):
+        for number in range(self._gateway_count):
             await self.start_gateway(number)
 
     async def start_gateway(self, number):
--- a/tests/support/stage_burst.py
+++ b/tests/support/stage_burst.py
@@ -17,7 +17,7 @@
 # Interval at which a request that waits for admission asks again, in seconds, and its longest wait
 # as a ratio of the route's `aim`. Both are those of the batcher.
 ASK_SECONDS = 0.05
-PATIENCE_PART = 0.2
+MAX_WAIT_RATIO = 0.2
 
 
 class SimPool:
@@ -28,7 +28,7 @@
         self.free = targets
         self.profile = profile
         self.waiting: list[tuple[int, int, object]] = []
-        self.pieces_made = 0
+        self.pieces_run = 0
         self.calls = 0
 
     def load(self) -> PoolLoad:
@@ -50,7 +50,7 @@
     slack: float
 
 
-class Fate(msgspec.Struct):
+class RequestOutcome(msgspec.Struct):
     """Hold the outcome of one request; `wait` is the wait that was forecast at its admission."""
 
     kind: str
@@ -68,12 +68,12 @@
         self.pools = pools
         self.kinds = kinds
         self.book = AdmissionController()
-        self.fates: list[Fate] = []
+        self.fates: list[RequestOutcome] = []
         self._random = random.Random(seed)
         self._events: list = []
         self._order = itertools.count()
 
-    def run(self, seconds: float, factor, admit=None) -> list[Fate]:
+    def run(self, seconds: float, factor, admit=None) -> list[RequestOutcome]:
         """Simulate `seconds`; `factor(kind, time)` scales the usual arrival rate."""
         self._admit = admit or self.book.admit
         for kind in self.kinds:
@@ -83,7 +83,7 @@
             step(time)
         return self.fates
 
-    def _at(self, time, step):
+    def _schedule(self, time, step):
         heapq.heappush(self._events, (time, next(self._order), step))
 
     def _schedule_arrivals(self, kind, seconds, factor):
@@ -94,11 +94,11 @@
             if time > seconds:
                 return
             if self._random.random() < kind.rate * factor(kind.route.name, time) / most:
-                self._at(time, self._arrive(kind))
+                self._schedule(time, self._arrive(kind))
 
     def _arrive(self, kind):
         def step(now):
-            fate = Fate(kind.route.name, now)
+            fate = RequestOutcome(kind.route.name, now)
             self.fates.append(fate)
             self._ask(kind, fate, f"{kind.route.name}{len(self.fates)}", now, now)
 
@@ -112,10 +112,10 @@
         if verdict.admitted:
             fate.wait = verdict.wait
             self._begin_stage(kind, fate, name, since, 0, now)
-        elif waited + ASK_SECONDS > kind.route.aim * PATIENCE_PART:
+        elif waited + ASK_SECONDS > kind.route.aim * MAX_WAIT_RATIO:
             fate.refused = True
         else:
-            self._at(now + ASK_SECONDS, lambda at: self._ask(kind, fate, name, since, at))
+            self._schedule(now + ASK_SECONDS, lambda at: self._ask(kind, fate, name, since, at))
 
     def _begin_stage(self, kind, fate, name, since, stage, now):
         while stage < len(kind.counts) and not kind.counts[stage]:
@@ -151,10 +151,10 @@
             )
             pool.free -= 1
             pool.calls += 1
-            pool.pieces_made += len(batch)
-            self._at(now + pool.profile.seconds(len(batch)), self._ended(pool, batch))
+            pool.pieces_run += len(batch)
+            self._schedule(now + pool.profile.seconds(len(batch)), self._finish_call(pool, batch))
 
-    def _ended(self, pool, batch):
+    def _finish_call(self, pool, batch):
         def step(now):
             pool.free += 1
             for _, _, done in batch:
