--- a/benchmarks/account.py
+++ b/benchmarks/account.py
@@ -17,13 +17,13 @@
 from benchmarks.compare.reports import Group, Report, read_report
 
 # Windows that earn a smaller ratio of the credit owed are listed.
-_WEAK_WINDOW = 0.85
+_WEAK_WINDOW_RATIO = 0.85
 _PIECES = "pieces"
 _PASSED = "passed"
 _NOT_ADMITTED = "not-admitted"
 
 
-class CallFill(msgspec.Struct):
+class PoolCalls(msgspec.Struct):
     """Sum the calls of one pool: their number, their size, and partial calls despite a full queue.
 
     The largest observed call counts as a full one.
@@ -45,7 +45,7 @@
         self.rows.append((record["pieces"], record["waiting"]))
         self.targets.add(record["target"])
 
-    def partial_in_a_crowd(self) -> int:
+    def partial_with_full_queue(self) -> int:
         """Return the number of partial calls made while a full call's pieces were waiting."""
         return sum(1 for taken, left in self.rows if taken < self.largest <= left)
 
@@ -58,7 +58,7 @@
     _print_losses(found)
     _print_groups("class", found.classes)
     _print_groups("data centre", found.zones)
-    _print_groups("weak window", [w for w in found.windows if w.worth < _WEAK_WINDOW])
+    _print_groups("weak window", [w for w in found.windows if w.worth < _WEAK_WINDOW_RATIO])
     _print_endings(found)
     if log is not None:
         with Path(log).open(errors="replace") as lines:
@@ -83,12 +83,12 @@
             yield record
 
 
-def fill_of_calls(records: list[dict]) -> dict[str, CallFill]:
+def calls_by_pool(records: list[dict]) -> dict[str, PoolCalls]:
     """Return the summed calls of each pool."""
-    fills: dict[str, CallFill] = {}
+    fills: dict[str, PoolCalls] = {}
     for record in records:
         if record.get("message") == _PIECES:
-            fills.setdefault(record["pool"], CallFill()).add(record)
+            fills.setdefault(record["pool"], PoolCalls()).add(record)
     return fills
 
 
@@ -108,7 +108,7 @@
         self.handed_over.append(seconds - waited - called)
 
 
-def times_of_stages(records: list[dict]) -> dict[tuple[str, int], StageTimes]:
+def stage_times(records: list[dict]) -> dict[tuple[str, int], StageTimes]:
     """Return the durations of the stages of each route."""
     times: dict[tuple[str, int], StageTimes] = {}
     for record in records:
@@ -118,7 +118,7 @@
     return times
 
 
-def part_of(values: list[float], part: float) -> float:
+def quantile(values: list[float], part: float) -> float:
     """Return the value that a share of `ratio` of the values does not exceed."""
     ranked = sorted(values)
     return ranked[min(len(ranked) - 1, int(len(ranked) * part))]
@@ -157,21 +157,21 @@
 def _print_calls(records):
     print("\n| pool | targets | calls | pieces a call | largest | busy s | partial, full queue |")
     print("|---|---|---|---|---|---|---|")
-    for name, fill in sorted(fill_of_calls(records).items()):
+    for name, fill in sorted(calls_by_pool(records).items()):
         mean = fill.pieces / fill.calls
         print(
             f"| {name} | {len(fill.targets)} | {fill.calls} | {mean:.1f} | {fill.largest} "
-            f"| {fill.seconds:.0f} | {fill.partial_in_a_crowd()} |"
+            f"| {fill.seconds:.0f} | {fill.partial_with_full_queue()} |"
         )
 
 
 def _print_stages(records):
     print("\n| stage, ms (p10, p50, p90) | run | total | queue | call | hand-over |")
     print("|---|---|---|---|---|---|")
-    for (route, stage), times in sorted(times_of_stages(records).items()):
+    for (route, stage), times in sorted(stage_times(records).items()):
         columns = (times.seconds, times.waited, times.called, times.handed_over)
         cells = [
-            ", ".join(f"{part_of(values, part):.0f}" for part in (0.1, 0.5, 0.9))
+            ", ".join(f"{quantile(values, part):.0f}" for part in (0.1, 0.5, 0.9))
             for values in columns
         ]
         print(f"| {route} {stage} | {len(times.seconds)} | {' | '.join(cells)} |")
--- a/benchmarks/bursts.py
+++ b/benchmarks/bursts.py
@@ -19,7 +19,7 @@
 from tests.support.cluster import Cluster
 
 TOKEN_SECONDS = 0.02
-GATEWAYS_PER_PLACE = 3
+GATEWAYS_PER_DATA_CENTRE = 3
 
 
 class Stream(msgspec.Struct, frozen=True):
@@ -153,12 +153,12 @@
             address = rng.choice(
                 cluster.gateway_addresses[1:] if killed else cluster.gateway_addresses
             )
-            send = one(session, address, stream, customer, f"{seed}-{number}")
+            send = send_request(session, address, stream, customer, f"{seed}-{number}")
             tasks.append(asyncio.create_task(send))
         return await asyncio.gather(*tasks)
 
 
-async def one(session, address, stream, customer, key):
+async def send_request(session, address, stream, customer, key):
     """Send one request and return its outcome."""
     headers = {
         "Traystall-Customer": customer,
@@ -185,14 +185,14 @@
     """Return the figures of one run."""
     cluster = Cluster(
         scenario.bundle,
-        gateways_per_place=GATEWAYS_PER_PLACE,
+        gateways_per_data_centre=GATEWAYS_PER_DATA_CENTRE,
         seconds=scenario.service_seconds,
         solo=[f"{scenario.faulty_pool.removesuffix('s')}-1"],
         log_level="warning",
         variant="" if variant == "ours" else variant,
     )
     with cluster:
-        inflict(cluster, scenario, fault)
+        apply_fault(cluster, scenario, fault)
         kill_at = 5.0 if fault == "gateway-killed" else None
         outcomes = uvloop.run(
             offer(cluster, scenario, seed, fault == "greedy", kill_at, fault == "uneven")
@@ -201,7 +201,7 @@
     return figures(outcomes, busy)
 
 
-def inflict(cluster, scenario, fault):
+def apply_fault(cluster, scenario, fault):
     """Apply a fault to the first target of the faulty pool."""
     name = cluster.pool(scenario.faulty_pool)[0]
     if fault == "slow":
--- a/benchmarks/compare/__main__.py
+++ b/benchmarks/compare/__main__.py
@@ -15,7 +15,7 @@
 
 # The first of consecutive seeds. Any value works, because both checkouts use the same seeds.
 _FIRST_SEED = 20_261_202
-_MOST_CAUSES = 12
+_MAX_CAUSES = 12
 
 
 def compare(bench, site, old, new, days, why, seeds=3, jobs=4, folder="target/compare", plots=True):
@@ -31,7 +31,7 @@
     played_by = Bench(Path(bench).resolve(), Path(site).resolve(), out, str(why))
     for checkout in sides.values():
         played_by.build(checkout)
-    names = [days] if isinstance(days, str) and "," not in days else _words(days)
+    names = [days] if isinstance(days, str) and "," not in days else _names(days)
     plays = [
         Play(side, checkout, day, _FIRST_SEED + number)
         for day in names
@@ -49,7 +49,7 @@
         draw(pairs, out)
 
 
-def _words(days):
+def _names(days):
     return days.split(",") if isinstance(days, str) else [str(day) for day in days]
 
 
@@ -65,7 +65,7 @@
 def _print_causes(pairs):
     print("\n| worth lost to | pairs | old | new | difference (95 %) | verdict |")
     print("|---|---|---|---|---|---|")
-    for name, found in list(losses_by_cause(pairs).items())[:_MOST_CAUSES]:
+    for name, found in list(losses_by_cause(pairs).items())[:_MAX_CAUSES]:
         # For a loss, a lower value is better, so the verdict is stated as a direction.
         verdict = {"better": "more", "worse": "less"}.get(found.verdict(), found.verdict())
         print(f"| {name} | {_row(found, verdict)} |")
--- a/benchmarks/compare/differences.py
+++ b/benchmarks/compare/differences.py
@@ -29,13 +29,13 @@
             return "better"
         if self.high < 0:
             return "worse"
-        return "not told apart"
+        return "inconclusive"
 
 
 def difference(old: list[float], new: list[float]) -> Difference:
     """Return the difference of paired values; raise ValueError if their numbers differ."""
     if len(old) != len(new) or not old:
-        raise ValueError(f"{len(old)} old values and {len(new)} new ones make no pairs")
+        raise ValueError(f"{len(old)} old values and {len(new)} new values do not pair up")
     deltas = [after - before for before, after in zip(old, new, strict=True)]
     mean = sum(deltas) / len(deltas)
     low, high = _interval(deltas, mean)
--- a/benchmarks/directory.py
+++ b/benchmarks/directory.py
@@ -13,7 +13,7 @@
 
 from tests.support.directory_site import Site
 
-_EVERY = 0.4
+_RESTART_INTERVAL_SECONDS = 0.4
 _DRAIN_SECONDS = 1.2
 
 
@@ -22,15 +22,15 @@
     site = Site(gateways)
     await site.settle(60.0)
     steady = site.gateways[restarts:]
-    before = [(g.directory_bytes, g.reply_bytes, g.news) for g in steady]
+    before = [(g.directory_bytes, g.reply_bytes, g.update_count) for g in steady]
     control, began, used = site.control_seconds, time.perf_counter(), time.process_time()
-    await site.restart_in_turn(restarts, _EVERY, _DRAIN_SECONDS)
+    await site.restart_in_turn(restarts, _RESTART_INTERVAL_SECONDS, _DRAIN_SECONDS)
     seconds = time.perf_counter() - began
     figures = {
         "seconds": seconds,
         "directory bytes/s": _mean(g.directory_bytes for g in steady),
         "all bytes/s": _mean(g.reply_bytes for g in steady),
-        "replies with updates/s": _mean(g.news for g in steady),
+        "replies with updates/s": _mean(g.update_count for g in steady),
     }
     for name, index in (
         ("directory bytes/s", 0),
--- a/benchmarks/in_force.py
+++ b/benchmarks/in_force.py
@@ -79,7 +79,7 @@
     ]
 
 
-def row(name: str, values: list[float]) -> str:
+def table_row(name: str, values: list[float]) -> str:
     """Return one row of the table: count, histogram, largest value."""
     counts = []
     low = float("-inf")
@@ -96,8 +96,8 @@
     heads = [f"<= {bound}" for bound in _BOUNDS]
     print(f"| seconds | n | {' | '.join(heads)} | more | largest |")
     print("|---" * (len(_BOUNDS) + 4) + "|")
-    print(row("accepted to in force", [s for day in days for s in seconds_to_force(day)]))
-    print(row("arrival to refusal", [s for day in days for s in seconds_to_refusal(day)]))
+    print(table_row("accepted to in force", [s for day in days for s in seconds_to_force(day)]))
+    print(table_row("arrival to refusal", [s for day in days for s in seconds_to_refusal(day)]))
 
 
 if __name__ == "__main__":
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -38,7 +38,7 @@
     return most
 
 
-class Buckets:
+class TokenBuckets:
     """Give each gateway a token bucket of one request, filled by its share of the limit."""
 
     def __init__(self, names: list[str], limit: float):
@@ -63,14 +63,14 @@
     return found
 
 
-def play_parts(size, limit, requests, senders=None):
+def simulate_shares(size, limit, requests, senders=None):
     """Return the sent requests if each gateway, or each of a few, has a share of the limit."""
     names = [f"g-{n}" for n in range(senders or size)]
-    buckets = Buckets(names, limit)
+    buckets = TokenBuckets(names, limit)
     return [at for at, name in requests if buckets.take(name, at)], 0
 
 
-async def play_permits(size, limit, requests, seed):
+async def simulate_permits(size, limit, requests, seed):
     """Return the sent requests if each needs a permit of a lender, and the number of messages."""
     site = LendingSite(_use_clock, size, limit, seed)
     began, site.messages = site.now, 0
@@ -84,33 +84,33 @@
     clock.monotonic = now
 
 
-async def weigh(seconds: float, seeds: int) -> None:
+async def compare(seconds: float, seeds: int) -> None:
     """Print the table."""
     print("| method | gateways | limit | demand | most in 4 s (allowed) | used | messages |")
     print("|---|---|---|---|---|---|---|")
     for size in SIZES:
         for limit in LIMITS:
             for is_skewed in (False, True) if size > 2 else (False,):
-                await _weigh_one(size, limit, is_skewed, seconds, seeds)
+                await _compare_one(size, limit, is_skewed, seconds, seeds)
 
 
-async def _weigh_one(size, limit, is_skewed, seconds, seeds):
+async def _compare_one(size, limit, is_skewed, seconds, seeds):
     demand = max(40.0, 2 * limit)
-    found = {"parts": [], "two alone": [], "permits": []}
+    found = {"shares": [], "two gateways": [], "permits": []}
     for seed in range(seeds):
         source = random.Random(seed)
         requests = arrivals(size, demand, is_skewed, seconds, source)
-        found["parts"].append(play_parts(size, limit, requests))
-        found["two alone"].append(play_parts(size, limit, requests, min(2, size)))
-        found["permits"].append(await play_permits(size, limit, requests, seed))
-    for way, plays in found.items():
-        most = max(most_within(sent) for sent, _ in plays)
-        used = sum(len(sent) for sent, _ in plays) / (limit * seconds * seeds)
-        messages = sum(count for _, count in plays) / (seconds * seeds * size)
-        mark = " **beyond**" if most > allowed(limit) else ""
-        spread = "two get most" if is_skewed else "even"
+        found["shares"].append(simulate_shares(size, limit, requests))
+        found["two gateways"].append(simulate_shares(size, limit, requests, min(2, size)))
+        found["permits"].append(await simulate_permits(size, limit, requests, seed))
+    for method, results in found.items():
+        most = max(most_within(sent) for sent, _ in results)
+        used = sum(len(sent) for sent, _ in results) / (limit * seconds * seeds)
+        messages = sum(count for _, count in results) / (seconds * seeds * size)
+        mark = " **exceeded**" if most > allowed(limit) else ""
+        spread = "skewed" if is_skewed else "even"
         print(
-            f"| {way} | {size} | {limit} | {spread} | {most} ({allowed(limit):g}){mark} |"
+            f"| {method} | {size} | {limit} | {spread} | {most} ({allowed(limit):g}){mark} |"
             f" {used:.2f} | {messages:.2f} |",
             flush=True,
         )
@@ -118,7 +118,7 @@
 
 def main(seconds: float = 60.0, seeds: int = 3) -> None:
     """Compare the methods over SECONDS and SEEDS."""
-    asyncio.run(weigh(seconds, seeds))
+    asyncio.run(compare(seconds, seeds))
 
 
 if __name__ == "__main__":
--- a/benchmarks/link_frames.py
+++ b/benchmarks/link_frames.py
@@ -18,9 +18,9 @@
 
 _FRAMES = 3000
 _CALLS = 2000
-_TURNS = 9
+_ROUNDS = 9
 _BODY_BYTES = 200
-_TIMEOUT = 5.0
+_TIMEOUT_SECONDS = 5.0
 
 
 class _MemoryWriter:
@@ -42,7 +42,7 @@
 
 async def _measure():
     found = {"frame written": [], "frame read": [], "call": []}
-    for _ in range(_TURNS):
+    for _ in range(_ROUNDS):
         writer = _MemoryWriter()
         found["frame written"].append(_write(writer))
         found["frame read"].append(await _read(bytes(writer.data)))
@@ -72,10 +72,10 @@
     await server.start()
     host, port = server._server.sockets[0].getsockname()
     link = Link(f"{host}:{port}", LinkIdentity("cluster", "gateway", "benchmark"))
-    await link.call(ProbeRequest(), _TIMEOUT)
+    await link.call(ProbeRequest(), _TIMEOUT_SECONDS)
     began = time.process_time()
     for _ in range(_CALLS):
-        await link.call(ProbeRequest(), _TIMEOUT)
+        await link.call(ProbeRequest(), _TIMEOUT_SECONDS)
     seconds = (time.process_time() - began) / _CALLS
     await link.close()
     await server.stop()
--- a/benchmarks/log_lines.py
+++ b/benchmarks/log_lines.py
@@ -16,7 +16,7 @@
 from traystall.core.log_writer import BackgroundHandler, LineBudget
 
 _LINES = 5000
-_TURNS = 7
+_ROUNDS = 7
 _PAUSE_EVERY = 50
 _PAUSE_SECONDS = 0.001
 
@@ -25,20 +25,20 @@
     """Print one line for each handler, and the ratio."""
     null = open(os.devnull, "w")  # noqa: SIM115 - open until the process ends.
     ways = {
-        "at once": logging.StreamHandler(null),
-        "by the thread": BackgroundHandler(null.fileno(), LineBudget(10**9)),
+        "synchronous": logging.StreamHandler(null),
+        "background thread": BackgroundHandler(null.fileno(), LineBudget(10**9)),
     }
-    found = {name: statistics.median(_turns(handler)) for name, handler in ways.items()}
+    found = {name: statistics.median(_time_rounds(handler)) for name, handler in ways.items()}
     for name, seconds in found.items():
         print(f"{name}: {seconds * 1e6:.1f} us a line")
-    print(f"ratio: {found['by the thread'] / found['at once']:.2f}")
+    print(f"ratio: {found['background thread'] / found['synchronous']:.2f}")
 
 
-def _turns(handler):
+def _time_rounds(handler):
     handler.setFormatter(JsonFormatter("%(asctime)s %(levelname)s %(name)s %(message)s"))
     logger = logging.Logger("benchmark")
     logger.addHandler(handler)
-    for _ in range(_TURNS):
+    for _ in range(_ROUNDS):
         began = time.process_time()
         for number in range(_LINES):
             fields = {"request": "3df0", "target": "i-1", "seconds": 0.25, "attempt": number}
--- a/benchmarks/play_days.py
+++ b/benchmarks/play_days.py
@@ -19,8 +19,8 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-TROUBLES = ROOT / "benchmarks" / "days" / "troubles.toml"
-SCRATCH = ROOT / "target" / "days"
+FAULTS_FILE = ROOT / "benchmarks" / "days" / "troubles.toml"
+OUTPUT_FOLDER = ROOT / "target" / "days"
 _SEED = 20_261_202
 _LENGTH_SECONDS = 24.0
 _RECOVERY_SECONDS = 20.0
@@ -46,7 +46,7 @@
     parser.add_argument("bench")
     parser.add_argument("site")
     parser.add_argument("--why", required=True)
-    parser.add_argument("--days", default=str(TROUBLES))
+    parser.add_argument("--days", default=str(FAULTS_FILE))
     parser.add_argument("--only", default="")
     parser.add_argument("--jobs", type=int, default=2)
     parser.add_argument("--small", action="store_true")
@@ -58,23 +58,23 @@
     return next(day for day in days if day["slot"] == "quiet")
 
 
-def _play(arguments, quiet, trouble) -> str:
-    day = {**quiet, **trouble, "seed": _SEED, "length_s": _LENGTH_SECONDS}
-    day["plan"] = trouble.get("plan", [])
-    day["faults"] = trouble.get("faults", [])
-    if "closing" in trouble:
+def _play(arguments, quiet, scenario) -> str:
+    day = {**quiet, **scenario, "seed": _SEED, "length_s": _LENGTH_SECONDS}
+    day["plan"] = scenario.get("plan", [])
+    day["faults"] = scenario.get("faults", [])
+    if "closing" in scenario:
         day["length_s"] = _LENGTH_SECONDS + _CLOSING_SECONDS
     else:
         day.pop("closing", None)
-    SCRATCH.mkdir(parents=True, exist_ok=True)
-    path = SCRATCH / f"{Path(arguments.site).stem}-{trouble['name']}.toml"
+    OUTPUT_FOLDER.mkdir(parents=True, exist_ok=True)
+    path = OUTPUT_FOLDER / f"{Path(arguments.site).stem}-{scenario['name']}.toml"
     path.write_text(_toml(day))
     command = [arguments.bench, "run", arguments.site, str(path), "--why", arguments.why]
     if arguments.small:
         command.append("--small")
     found = subprocess.run(command, capture_output=True, text=True, cwd=ROOT, check=False)
     path.with_suffix(".txt").write_text(found.stdout + found.stderr)
-    return f"| {trouble['name']} | {_result(found.stdout, found.stderr)} |"
+    return f"| {scenario['name']} | {_result(found.stdout, found.stderr)} |"
 
 
 def _result(output, errors) -> str:
--- a/benchmarks/quarantine.py
+++ b/benchmarks/quarantine.py
@@ -25,7 +25,7 @@
 
 _BODY_BYTES = 1_000_000
 _REQUESTS = 200
-_AT_ONCE = 10
+_CONCURRENCY = 10
 _ROUNDS = 5
 # Time for connections to close, in seconds.
 _CLOSE_SECONDS = 0.1
@@ -50,7 +50,7 @@
     async with EmulatedGateway(table(timeout=60.0, aim=30.0), [], leader=leader) as gateway:
         gateway.add("plain", runner)
         leader.tell()
-        limit = asyncio.Semaphore(_AT_ONCE)
+        limit = asyncio.Semaphore(_CONCURRENCY)
 
         async def call(number):
             async with limit:
@@ -112,9 +112,11 @@
             digest = ended[number].digest
             one = EndedRun(digest, "customer-1234", "r-u44cpq2", "p", life, "refused")
             suspects.report(ReportRuns((one,), (), (), 1786675920.6))
-    told = len(encode(to_wire(suspects, suspects.version - 1)))
-    everyone = told * _GATEWAYS * _DAEMONS
-    print(f"notification: {told} B a suspect, {everyone / 1000:.0f} KB to {_GATEWAYS} gateways")
+    notification = len(encode(to_wire(suspects, suspects.version - 1)))
+    total = notification * _GATEWAYS * _DAEMONS
+    print(
+        f"notification: {notification} B a suspect, {total / 1000:.0f} KB to {_GATEWAYS} gateways"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/registry.py
+++ b/benchmarks/registry.py
@@ -22,7 +22,7 @@
 
 _REPORT_SECONDS = 1.0
 # Interval between restarts; a target drains, leaves, and returns with a new incarnation.
-_RESTART_EVERY = 0.4
+_RESTART_INTERVAL_SECONDS = 0.4
 _DRAIN_SECONDS = 0.2
 
 
@@ -179,9 +179,9 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def _restart_in_turn(self, seconds):
-        for target in self.targets[: int(seconds / _RESTART_EVERY)]:
+        for target in self.targets[: int(seconds / _RESTART_INTERVAL_SECONDS)]:
             await target.restart()
-            await asyncio.sleep(_RESTART_EVERY - 1.5 * _DRAIN_SECONDS)
+            await asyncio.sleep(_RESTART_INTERVAL_SECONDS - 1.5 * _DRAIN_SECONDS)
 
     async def _watch_ages(self, seconds):
         """Record the largest age, at the gateway, of rows that are ready."""
--- a/benchmarks/rests.py
+++ b/benchmarks/rests.py
@@ -19,8 +19,8 @@
 from traystall.passthrough.health.notices import TargetNoticeMonitor
 from traystall.registry.models import TargetReport
 
-_RESTING_PART = 100
-_REST_SECONDS = 3000.0
+_TARGETS_PER_BACKOFF = 100
+_BACKOFF_SECONDS = 3000.0
 
 
 def make_board(targets: int) -> TargetBoard:
@@ -30,8 +30,8 @@
     for number in range(targets):
         address = f"10.0.{number // 250}.{number % 250}:80"
         board.merge(TargetReport(f"t{number}", "p", address, "here", slots=4), now)
-        if number % _RESTING_PART == 0:
-            board.view(f"t{number}").availability.request_backoff(_REST_SECONDS, "r", now)
+        if number % _TARGETS_PER_BACKOFF == 0:
+            board.view(f"t{number}").availability.request_backoff(_BACKOFF_SECONDS, "r", now)
     return board
 
 
@@ -50,14 +50,14 @@
     watch = TargetNoticeMonitor(HeaderNames(), lambda: None)
     head = ResponseHead(200, [(b"X-Header-%d" % n, b"value") for n in range(12)])
     connection, view = TargetConnection(), board.view("t1")
-    looks = {
+    queries = {
         "usable targets": lambda: board.usable("p", now, now),
         "backoff of the whole pool": lambda: board.backoff_left("p", now),
         "targets that other gateways must avoid": lambda: board.unavailable("p", now),
         "head of a response": lambda: watch.on_response_head(view, connection, head),
     }
-    for name, look in looks.items():
-        print(f"{name}: {microseconds(look, calls):.1f} us")
+    for name, query in queries.items():
+        print(f"{name}: {microseconds(query, calls):.1f} us")
 
 
 if __name__ == "__main__":
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -100,7 +100,7 @@
         self.held = HeldRevision()
         self.number = number
         self.directory = FollowedDirectory()
-        self.taken_at = {}
+        self.held_at = {}
 
     async def watch_forever(self):
         """Watch until cancelled."""
@@ -121,7 +121,7 @@
                 reply = await self.link.call(request, 5.0)
                 self.directory.take(reply, time.monotonic())
                 if self.held.take(reply):
-                    self.taken_at[self.held.number] = time.perf_counter()
+                    self.held_at[self.held.number] = time.perf_counter()
 
 
 async def start_watchers(cluster, count):
@@ -135,7 +135,7 @@
     return watchers, tasks
 
 
-async def until_taken(watchers, number):
+async def until_held(watchers, number):
     """Return once every watcher holds the number."""
     while any(w.held.number < number for w in watchers):
         await asyncio.sleep(0.002)
@@ -147,7 +147,7 @@
 def subscribers():
     """Control daemon: CPU, bytes, memory and time until in force, by watchers."""
     for count in (3, 30, 130, 390):
-        with Cluster("nomina", gateways_per_place=0, log_level="warning") as cluster:
+        with Cluster("nomina", gateways_per_data_centre=0, log_level="warning") as cluster:
             uvloop.run(_subscribers(cluster, count))
 
 
@@ -155,12 +155,12 @@
     watchers, tasks = await start_watchers(cluster, count)
     operator = Operator(cluster, customers(1000))
     await operator.apply()
-    await until_taken(watchers, operator.number)
+    await until_held(watchers, operator.number)
     await asyncio.sleep(2.0)
     leader = (await asyncio.to_thread(cluster.leader))[0]
-    figures = await _steady(cluster, leader)
-    follower = await _steady(cluster, (leader + 1) % 3)
-    delays = [await _time_in_force(operator, watchers) for _ in range(5)]
+    figures = await _idle_figures(cluster, leader)
+    follower = await _idle_figures(cluster, (leader + 1) % 3)
+    delays = [await _seconds_until_in_force(operator, watchers) for _ in range(5)]
     for task in tasks:
         task.cancel()
     print(
@@ -173,7 +173,7 @@
     )
 
 
-async def _steady(cluster, position):
+async def _idle_figures(cluster, position):
     """Return (share of a core, bytes a second, MB) of an idle control daemon."""
     pid = cluster.controls[position].popen.pid
     address = cluster.control_http[position]
@@ -184,13 +184,13 @@
     return (cpu_seconds(pid) - before[0]) / seconds, (after - before[1]) / seconds, resident_mb(pid)
 
 
-async def _time_in_force(operator, watchers):
+async def _seconds_until_in_force(operator, watchers):
     """Return the seconds from the accepting reply until the last watcher has the change."""
     name = f"changed-{operator.number}"
     changed = {f"customer/{name}": pack(Customer(name, ("queretaro-a",)))}
     accepted = await operator.apply(changed)
-    await until_taken(watchers, operator.number)
-    last = max(w.taken_at[operator.number] for w in watchers)
+    await until_held(watchers, operator.number)
+    last = max(w.held_at[operator.number] for w in watchers)
     return max(0.0, last - accepted)
 
 
@@ -203,7 +203,7 @@
     The hive bundle has ten targets in each data centre; a gateway polls each every second.
     """
     for count in (1, 2, 4):
-        with Cluster("hive", gateways_per_place=count, log_level="warning") as cluster:
+        with Cluster("hive", gateways_per_data_centre=count, log_level="warning") as cluster:
             time.sleep(3.0)
             pid, address = cluster.gateways[0].popen.pid, cluster.gateway_addresses[0]
             before = cpu_seconds(pid), rpc_bytes(address), time.perf_counter()
@@ -235,7 +235,7 @@
     apply_seconds = time.perf_counter() - started
     await asyncio.to_thread(_wait_gateways, cluster, operator.number)
     watchers, tasks = await start_watchers(cluster, 1)
-    await until_taken(watchers, operator.number)
+    await until_held(watchers, operator.number)
     full = sum(len(k) + len(v) for k, v in watchers[0].held.entities.items())
     pids = [cluster.controls[0].popen.pid, cluster.gateways[0].popen.pid]
     cpu = [cpu_seconds(pid) for pid in pids]
@@ -278,7 +278,7 @@
 
 def claims():
     """Keyed claims a second through three replicas, by concurrency."""
-    with Cluster("nomina", gateways_per_place=0, log_level="warning") as cluster:
+    with Cluster("nomina", gateways_per_data_centre=0, log_level="warning") as cluster:
         uvloop.run(_claims(cluster))
 
 
@@ -425,7 +425,7 @@
     """Time until a killed leader is replaced, in minimum election timeouts of 1 s."""
     times = []
     for _ in range(5):
-        with Cluster("nomina", gateways_per_place=0, log_level="warning") as cluster:
+        with Cluster("nomina", gateways_per_data_centre=0, log_level="warning") as cluster:
             leader = cluster.leader()[0]
             cluster.controls[leader].kill()
             times.append(uvloop.run(_until_claim(cluster, leader)))
@@ -460,7 +460,7 @@
     for count, entries in ((1000, 100), (4000, 2000), (16000, 10000)):
         flags = ["--snapshot-every=1000000"]
         with Cluster(
-            "nomina", gateways_per_place=0, log_level="warning", control_flags=flags
+            "nomina", gateways_per_data_centre=0, log_level="warning", control_flags=flags
         ) as cluster:
             uvloop.run(_fill(cluster, count, entries))
             follower = (cluster.leader()[0] + 1) % 3
--- a/benchmarks/startup.py
+++ b/benchmarks/startup.py
@@ -12,7 +12,7 @@
 
 _DAEMONS = ("traystall.passthrough.daemon", "traystall.control.daemon", "traystall.gateway.daemon")
 _ROUNDS = 7
-_SHOWN = 12
+_MAX_MODULES = 12
 # The interpreter flags with which the platform starts the daemons.
 _FLAGS = ("-S",)
 
@@ -36,7 +36,7 @@
         own, _, rest = line.removeprefix("import time:").partition("|")
         if own.strip().isdigit():
             rows.append((int(own) / 1000, rest.partition("|")[2].strip()))
-    return sorted(rows, reverse=True)[:_SHOWN]
+    return sorted(rows, reverse=True)[:_MAX_MODULES]
 
 
 def _seconds(statement):
--- a/benchmarks/transfer.py
+++ b/benchmarks/transfer.py
@@ -56,7 +56,7 @@
             f"  routes built from it {_milliseconds(documents.translate, 1, entities):7.1f} ms",
             flush=True,
         )
-        _print_kept(entities)
+        _print_retained(entities)
 
 
 def _milliseconds(action, *arguments) -> float:
@@ -75,7 +75,7 @@
     assert HeldRevision().take(reply)
 
 
-def _print_kept(entities):
+def _print_retained(entities):
     """Print the memory of the packed copies that a source retains, and of packing one."""
     copies = [
         transfers.full_copy(entities | {"n": bytes([n])}, bytes([n]))
@@ -137,11 +137,13 @@
 def feeding() -> None:
     """One control daemon: bytes and processor time of a change of 1,400 routes, by gateways."""
     for count in FEEDING:
-        with Cluster("nomina", controls=1, gateways_per_place=0, log_level="warning") as cluster:
-            uvloop.run(_feed(cluster, count))
+        with Cluster(
+            "nomina", controls=1, gateways_per_data_centre=0, log_level="warning"
+        ) as cluster:
+            uvloop.run(_feed_gateways(cluster, count))
 
 
-async def _feed(cluster, count):
+async def _feed_gateways(cluster, count):
     followers, tasks = _start_followers(cluster.control_addresses, count)
     client = ControlClient(cluster.control_addresses, CLUSTER, "", 60.0)
     routes = plain_routes(CHANGED_ROUTES)
@@ -152,7 +154,7 @@
             route["timeout-ms"] += number
         entities = entities_of(routes)
         await asyncio.sleep(0.5)
-        before = await _sent(address), cpu_seconds(pid)
+        before = await _configuration_bytes_sent(address), cpu_seconds(pid)
         request = ApplyRequest(
             number=number, digest=entities_digest(entities), entities=entities, operator="slopes"
         )
@@ -161,7 +163,7 @@
         while any(follower.held.number < number for follower in followers):
             await asyncio.sleep(0.002)
         seconds = time.perf_counter() - accepted
-        after = await _sent(address), cpu_seconds(pid)
+        after = await _configuration_bytes_sent(address), cpu_seconds(pid)
         figures.append((after[0] - before[0], cpu - before[1], after[1] - cpu, seconds))
     for task in tasks:
         task.cancel()
@@ -201,7 +203,7 @@
     return followers, tasks
 
 
-async def _sent(address):
+async def _configuration_bytes_sent(address):
     """Return the bytes of configuration that a daemon has written."""
     kinds = await asyncio.to_thread(_bytes_in, address, "out")
     return kinds.get("watch", 0) + kinds.get("transfer", 0)
--- a/benchmarks/transfer_gateway.py
+++ b/benchmarks/transfer_gateway.py
@@ -19,23 +19,23 @@
 from traystall.passthrough.dialect import HeaderNames, PlainStageDialect
 from traystall.passthrough.settings import SETTINGS, check_gateway
 
-_TOLD = {"transfer", "configuration"}
+_PRINTED_EVENTS = {"transfer", "configuration"}
 _FIELDS = ("number", "full", "whole", "bytes", "size", "seconds", "failures")
 
 
-def tell(event: str, **fields) -> None:
+def print_event(event: str, **fields) -> None:
     """Print one event as a JSON object."""
     line = {"event": event, "at": time.monotonic(), "cpu": time.process_time(), **fields}
     print(json.dumps(line), flush=True)
 
 
-class Decisions(logging.Handler):
+class DecisionPrinter(logging.Handler):
     """Print the logged decisions about configurations."""
 
     def emit(self, record):
-        if record.getMessage() in _TOLD:
+        if record.getMessage() in _PRINTED_EVENTS:
             found = {name: getattr(record, name) for name in _FIELDS if hasattr(record, name)}
-            tell(record.getMessage(), **found)
+            print_event(record.getMessage(), **found)
 
 
 async def run() -> None:
@@ -44,24 +44,24 @@
     protocol = asyncio.StreamReaderProtocol(reader)
     await asyncio.get_running_loop().connect_read_pipe(lambda: protocol, sys.stdin)
     gateway = None
-    tell("done")
+    print_event("done")
     while line := await reader.readline():
         command = json.loads(line)
         if command["do"] == "start":
             settings = load("traystall-pass", SETTINGS, [check_gateway], command["argv"], {})
             gateway = PassGateway(settings, documents.translate, HeaderNames(), PlainStageDialect())
-            tell("starting")
+            print_event("starting")
             await gateway.start()
         elif command["do"] == "stop":
             await gateway.stop()
-        tell("done")
+        print_event("done")
 
 
 def main() -> None:
     """Run until the input ends."""
     logger = logging.getLogger(DECISION_LOGGER)
     logger.setLevel(logging.INFO)
-    logger.addHandler(Decisions())
+    logger.addHandler(DecisionPrinter())
     asyncio.run(run())
 
 
--- a/benchmarks/transfer_links.py
+++ b/benchmarks/transfer_links.py
@@ -41,10 +41,10 @@
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
         )
-        self.told: list[dict] = []
+        self.events: list[dict] = []
         await self._until(lambda line: line["event"] == "done")
 
-    async def order(self, do: str, **fields) -> dict:
+    async def execute(self, do: str, **fields) -> dict:
         """Send a command; return the event that completes it."""
         self._process.stdin.write(json.dumps({"do": do, **fields}).encode() + b"\n")
         return await self._until(lambda line: line["event"] == "done")
@@ -55,7 +55,7 @@
         def is_in_force(line):
             return line["event"] == "configuration" and line["number"] >= number
 
-        found = [line for line in self.told if is_in_force(line)]
+        found = [line for line in self.events if is_in_force(line)]
         return found[0] if found else await self._until(is_in_force)
 
     async def close(self) -> None:
@@ -67,7 +67,7 @@
         async with asyncio.timeout(CASE_SECONDS):
             while True:
                 line = json.loads(await self._process.stdout.readline())
-                self.told.append(line)
+                self.events.append(line)
                 if condition(line):
                     return line
 
@@ -116,30 +116,31 @@
             "drain-notice": "0",
         }
         argv = [f"--{name}={value}" for name, value in values.items()]
-        await self.gateway.order("start", argv=argv)
+        await self.gateway.execute("start", argv=argv)
 
     async def measure(self, begin, number: int, packed: int) -> str:
         """Return figures from `begin` until revision `number` is in force at the gateway.
 
         `begin` returns the start time of the measurement.
         """
-        self.gateway.told.clear()
-        cpu = (await self.gateway.order("sample"))["cpu"]
-        rest = time.process_time()
+        self.gateway.events.clear()
+        cpu = (await self.gateway.execute("sample"))["cpu"]
+        own_cpu = time.process_time()
         bytes_before, link_before = self.link.delivered.total(), self.link.seconds
         since = await begin()
-        told = await self.gateway.until_in_force(number)
-        came = self.link.delivered.total() - bytes_before
+        applied = await self.gateway.until_in_force(number)
+        received = self.link.delivered.total() - bytes_before
         link_seconds = self.link.seconds - link_before
-        rest = time.process_time() - rest
-        cpu = (await self.gateway.order("sample"))["cpu"] - cpu
-        ended = [line for line in self.gateway.told if line["event"] == "transfer"]
+        own_cpu = time.process_time() - own_cpu
+        cpu = (await self.gateway.execute("sample"))["cpu"] - cpu
+        ended = [line for line in self.gateway.events if line["event"] == "transfer"]
         return (
-            f"read {came / 1000:8.1f} KB  in force after {max(0.0, told['at'] - since):6.2f} s"
+            f"read {received / 1000:8.1f} KB"
+            f"  in force after {max(0.0, applied['at'] - since):6.2f} s"
             f"  link's clock {link_seconds:6.2f} s"
             f" (minimum {packed / self.link.free_bytes_per_second:6.2f})"
             f"  transfers {len(ended)} failed chunks {sum(line['failures'] for line in ended)}"
-            f"  cpu gateway {cpu:5.3f} s, daemons and link {rest:5.3f} s"
+            f"  cpu gateway {cpu:5.3f} s, daemons and link {own_cpu:5.3f} s"
         )
 
     async def stop(self) -> None:
@@ -189,7 +190,7 @@
         return await site.apply(number, large)
 
     print(f"{label}  delta  {await site.measure(change, number, packed)}", flush=True)
-    await site.gateway.order("stop")
+    await site.gateway.execute("stop")
     await site.settle()
 
     async def begin():
@@ -198,4 +199,4 @@
         return began
 
     print(f"{label}  start  {await site.measure(begin, number, packed)}", flush=True)
-    await site.gateway.order("stop")
+    await site.gateway.execute("stop")
--- a/tests/benchmarks/test_account.py
+++ b/tests/benchmarks/test_account.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from benchmarks.account import account, decisions, fill_of_calls, part_of, refusals, times_of_stages
+from benchmarks.account import account, calls_by_pool, decisions, quantile, refusals, stage_times
 from tests.benchmarks.test_compare import BODY
 
 
@@ -37,10 +37,10 @@
 
 
 def test_calls_are_summed_by_pool():
-    fill = fill_of_calls(list(decisions(LOG)))["p"]
-    assert (fill.calls, fill.pieces, fill.largest) == (3, 12, 7)
-    assert fill.targets == {"t-1", "t-2"}
-    assert fill.partial_in_a_crowd() == 1
+    calls_of_pool = calls_by_pool(list(decisions(LOG)))["p"]
+    assert (calls_of_pool.calls, calls_of_pool.pieces, calls_of_pool.largest) == (3, 12, 7)
+    assert calls_of_pool.targets == {"t-1", "t-2"}
+    assert calls_of_pool.partial_with_full_queue() == 1
 
 
 def test_refusals_separate_first_attempts_from_retries():
@@ -48,12 +48,12 @@
 
 
 def test_stage_times_have_queue_call_and_hand_over():
-    times = times_of_stages(list(decisions(LOG)))
+    times = stage_times(list(decisions(LOG)))
     assert times.keys() == {("r", 0), ("r", 1)}
     assert times["r", 0].seconds == [300, 400]
     assert times["r", 0].handed_over == [10, 10]
-    assert part_of(times["r", 0].waited, 0.9) == 100
-    assert part_of(times["r", 0].waited, 0.1) == 10
+    assert quantile(times["r", 0].waited, 0.9) == 100
+    assert quantile(times["r", 0].waited, 0.1) == 10
 
 
 def test_the_whole_account_is_printed(tmp_path, capsys):
--- a/tests/benchmarks/test_compare.py
+++ b/tests/benchmarks/test_compare.py
@@ -55,8 +55,8 @@
     [
         ([0.40, 0.50, 0.45], [0.50, 0.61, 0.55], "better"),
         ([0.50, 0.61, 0.55], [0.40, 0.50, 0.45], "worse"),
-        ([0.40, 0.50, 0.45], [0.50, 0.41, 0.46], "not told apart"),
-        ([0.40], [0.90], "not told apart"),
+        ([0.40, 0.50, 0.45], [0.50, 0.41, 0.46], "inconclusive"),
+        ([0.40], [0.90], "inconclusive"),
     ],
 )
 def test_differences_are_separated_from_noise(old, new, verdict):
@@ -70,7 +70,7 @@
 
 
 def test_values_that_do_not_pair_up_are_an_error():
-    with pytest.raises(ValueError, match="no pairs"):
+    with pytest.raises(ValueError, match="1 old values and 2 new values do not pair up"):
         difference([1.0], [1.0, 2.0])
 
 
@@ -111,11 +111,11 @@
     # The arguments: run SITE DAY --seed N --report FILE --why TEXT.
     script = f'[ "$5" = 2 ] && echo "too busy" >&2 && exit 1; cp {source} "$7"'
     plays = [Play(side, tmp_path, "d", seed) for seed in (1, 2) for side in ("old", "new")]
-    told = []
-    found = play_all(bench_that(tmp_path, script), plays, 2, told.append)
+    lines = []
+    found = play_all(bench_that(tmp_path, script), plays, 2, lines.append)
     assert len(pair_up(found)) == 1
-    assert sum("too busy" in line for line in told) == 2
-    assert told[-1].startswith("4 of 4")
+    assert sum("too busy" in line for line in lines) == 2
+    assert lines[-1].startswith("4 of 4")
 
 
 def test_plots_are_drawn_for_each_pair_and_for_the_causes(tmp_path):
