--- a/benchmarks/log_lines.py
+++ b/benchmarks/log_lines.py
@@ -24,11 +24,11 @@
 def main() -> None:
     """Print one line for each handler, and the ratio."""
     null = open(os.devnull, "w")  # noqa: SIM115 - open until the process ends.
-    ways = {
+    handlers = {
         "synchronous": logging.StreamHandler(null),
         "background thread": BackgroundHandler(null.fileno(), LineBudget(10**9)),
     }
-    found = {name: statistics.median(_time_rounds(handler)) for name, handler in ways.items()}
+    found = {name: statistics.median(_time_rounds(handler)) for name, handler in handlers.items()}
     for name, seconds in found.items():
         print(f"{name}: {seconds * 1e6:.1f} us a line")
     print(f"ratio: {found['background thread'] / found['synchronous']:.2f}")
--- a/benchmarks/registry.py
+++ b/benchmarks/registry.py
@@ -26,7 +26,7 @@
 _DRAIN_SECONDS = 0.2
 
 
-class Tally:
+class ReplyCounts:
     """Count the replies to one watcher."""
 
     def __init__(self):
@@ -52,7 +52,7 @@
         self.address = f"10.20.{number}.1:7000"
         self.service = RegistryService(lambda: [_member(daemon) for daemon in daemons])
         self.follower = RegistryFollower(
-            Links(daemons, Tally()),
+            Links(daemons, ReplyCounts()),
             self.address,
             lambda: [daemon.address for daemon in daemons if daemon is not self],
         )
@@ -67,31 +67,31 @@
 class Links:
     """Connect addresses to the registries of this process and count the replies."""
 
-    def __init__(self, daemons: list[Daemon], tally: Tally):
+    def __init__(self, daemons: list[Daemon], reply_counts: ReplyCounts):
         self._daemons = daemons
-        self._tally = tally
+        self._reply_counts = reply_counts
 
     def link(self, address: str) -> "_Link":
         """Return the link to one daemon."""
         service = next(d.service for d in self._daemons if d.address == address)
-        return _Link(service, self._tally)
+        return _Link(service, self._reply_counts)
 
 
 class _Link:
-    def __init__(self, service, tally):
+    def __init__(self, service, reply_counts):
         self._service = service
-        self._tally = tally
+        self._reply_counts = reply_counts
 
     async def call(self, request, timeout):
         async with asyncio.timeout(timeout):
             reply = await self._service.watch(decode(RegistryRequest, encode(request)))
         began = time.perf_counter()
         body = encode(reply)
-        self._tally.control_seconds += time.perf_counter() - began
-        self._tally.replies += 1
-        self._tally.reply_bytes += len(body)
+        self._reply_counts.control_seconds += time.perf_counter() - began
+        self._reply_counts.replies += 1
+        self._reply_counts.reply_bytes += len(body)
         if reply.ages:
-            self._tally.age_bytes += len(encode(RegistryReply(ages=reply.ages)))
+            self._reply_counts.age_bytes += len(encode(RegistryReply(ages=reply.ages)))
         return decode(RegistryReply, body)
 
 
@@ -102,13 +102,13 @@
         self._name = f"model-server-{number:03}"
         self._address = f"10.30.{number}.1:9000"
         self._daemon = daemon
-        self._life = 1
+        self._incarnation = 1
         self._sequence = 0
 
     @property
     def identity(self) -> str:
         """Return the identity of the current incarnation."""
-        return f"{self._name}/{self._life:020x}"
+        return f"{self._name}/{self._incarnation:020x}"
 
     async def run_forever(self) -> None:
         """Report until cancelled."""
@@ -121,7 +121,7 @@
         self._report(RegisteredState.DRAINING)
         await asyncio.sleep(_DRAIN_SECONDS)
         self._daemon.service.leave(self.identity)
-        self._life += 1
+        self._incarnation += 1
         await asyncio.sleep(_DRAIN_SECONDS / 2)
         self._report(RegisteredState.READY)
 
@@ -149,10 +149,12 @@
             self.daemons.append(Daemon(number, self.daemons))
         self.targets = [Target(n, self.daemons[n % daemons]) for n in range(targets)]
         self.registry = Registry()
-        self.tally = Tally()
-        self.oldest_seconds = 0.0
+        self.reply_counts = ReplyCounts()
+        self.largest_age_seconds = 0.0
         follower = RegistryFollower(
-            Links(self.daemons, self.tally), "gateway", lambda: [d.address for d in self.daemons]
+            Links(self.daemons, self.reply_counts),
+            "gateway",
+            lambda: [d.address for d in self.daemons],
         )
         follower.merge = self.registry.merge
         follower.record_seen = self.registry.record_seen
@@ -162,15 +164,15 @@
 
     async def measure(self, seconds: float, restarts: bool) -> dict[str, float]:
         """Return the counts a second over `seconds`, and the largest age known at the gateway."""
-        before, began = self.tally.figures(), time.perf_counter()
-        self.oldest_seconds = 0.0
+        before, began = self.reply_counts.figures(), time.perf_counter()
+        self.largest_age_seconds = 0.0
         async with asyncio.timeout(seconds + 10.0), asyncio.TaskGroup() as group:
             if restarts:
                 group.create_task(self._restart_in_turn(seconds))
-            group.create_task(self._watch_ages(seconds))
+            group.create_task(self._record_ages(seconds))
         passed = time.perf_counter() - began
-        figures = {n: (v - before[n]) / passed for n, v in self.tally.figures().items()}
-        return figures | {"largest age, s": self.oldest_seconds}
+        figures = {n: (v - before[n]) / passed for n, v in self.reply_counts.figures().items()}
+        return figures | {"greatest age, s": self.largest_age_seconds}
 
     async def stop(self) -> None:
         """Stop all tasks."""
@@ -183,13 +185,13 @@
             await target.restart()
             await asyncio.sleep(_RESTART_INTERVAL_SECONDS - 1.5 * _DRAIN_SECONDS)
 
-    async def _watch_ages(self, seconds):
+    async def _record_ages(self, seconds):
         """Record the largest age, at the gateway, of rows that are ready."""
         end = clock.monotonic() + seconds
         while clock.monotonic() < end:
             now = clock.monotonic()
             ages = [now - row.seen_at for row in self.registry.rows() if row.is_ready]
-            self.oldest_seconds = max([self.oldest_seconds, *ages])
+            self.largest_age_seconds = max([self.largest_age_seconds, *ages])
             await asyncio.sleep(0.02)
 
 
@@ -206,19 +208,19 @@
     """Return the figures when idle and while targets restart."""
     site = Site(targets, daemons)
     await asyncio.sleep(2.5)
-    at_rest = await site.measure(seconds, restarts=False)
+    idle = await site.measure(seconds, restarts=False)
     restarting = await site.measure(seconds, restarts=True)
     await site.stop()
-    return at_rest, restarting
+    return idle, restarting
 
 
 def main() -> None:
     """Print the figures."""
     targets = int(sys.argv[1]) if len(sys.argv) > 1 else 160
     daemons = int(sys.argv[2]) if len(sys.argv) > 2 else 5
-    at_rest, restarting = asyncio.run(measure(targets, daemons, 8.0))
+    idle, restarting = asyncio.run(measure(targets, daemons, 8.0))
     print(f"{'per second':18} {'idle':>10} {'restarting':>10}")
-    for name, value in at_rest.items():
+    for name, value in idle.items():
         print(f"{name:18} {value:10.3f} {restarting[name]:10.3f}")
 
 
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -33,7 +33,7 @@
 from traystall.tables.targets import TargetRow
 
 _TICKS = os.sysconf("SC_CLK_TCK")
-STEADY_SECONDS = 6.0
+IDLE_SECONDS = 6.0
 
 
 # ---- figures of the operating system ----
@@ -178,7 +178,7 @@
     pid = cluster.controls[position].popen.pid
     address = cluster.control_http[position]
     before = cpu_seconds(pid), await asyncio.to_thread(rpc_bytes, address), time.perf_counter()
-    await asyncio.sleep(STEADY_SECONDS)
+    await asyncio.sleep(IDLE_SECONDS)
     seconds = time.perf_counter() - before[2]
     after = await asyncio.to_thread(rpc_bytes, address)
     return (cpu_seconds(pid) - before[0]) / seconds, (after - before[1]) / seconds, resident_mb(pid)
@@ -207,7 +207,7 @@
             time.sleep(3.0)
             pid, address = cluster.gateways[0].popen.pid, cluster.gateway_addresses[0]
             before = cpu_seconds(pid), rpc_bytes(address), time.perf_counter()
-            time.sleep(STEADY_SECONDS * 2)
+            time.sleep(IDLE_SECONDS * 2)
             seconds = time.perf_counter() - before[2]
             cpu = (cpu_seconds(pid) - before[0]) / seconds * 100
             sent = (rpc_bytes(address) - before[1]) / seconds
@@ -288,14 +288,14 @@
     pool = LinkPool(LinkIdentity(CLUSTER, "gateway", "claimant"))
     alone = None
     pids = [control.popen.pid for control in cluster.controls]
-    for at_once in (1, 8, 64, 256):
+    for concurrency in (1, 8, 64, 256):
         cpu = [cpu_seconds(pid) for pid in pids]
-        rate, median = await _claim_many(pool.link(address), at_once, 200 + at_once * 12)
+        rate, median = await _claim_many(pool.link(address), concurrency, 200 + concurrency * 12)
         spent = [cpu_seconds(pid) - old for pid, old in zip(pids, cpu, strict=True)]
-        count = 200 + at_once * 12
+        count = 200 + concurrency * 12
         alone = alone or rate
         print(
-            f"concurrent claims {at_once:4}  {rate:6.0f} /s  speed-up {rate / alone:5.1f}"
+            f"concurrent claims {concurrency:4}  {rate:6.0f} /s  speed-up {rate / alone:5.1f}"
             f"  median {median * 1000:6.2f} ms  cpu a claim: leader"
             f" {spent[leader] / count * 1e6:5.0f} us, follower"
             f" {spent[(leader + 1) % 3] / count * 1e6:5.0f} us",
@@ -303,13 +303,13 @@
         )
 
 
-async def _claim_many(link, at_once, count):
+async def _claim_many(link, concurrency, count):
     left = iter(range(count))
     times = []
 
     async def worker():
         for number in left:
-            key = f"{at_once}-{number}"
+            key = f"{concurrency}-{number}"
             request = ttypes.ClaimRequest(
                 customer="c",
                 key=key,
@@ -325,7 +325,7 @@
             assert reply.outcome == "won"
 
     started = time.perf_counter()
-    await asyncio.gather(*(worker() for _ in range(at_once)))
+    await asyncio.gather(*(worker() for _ in range(concurrency)))
     return count / (time.perf_counter() - started), statistics.median(times)
 
 
@@ -342,14 +342,16 @@
     pid = cluster.gateways[0].popen.pid
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as session:
-        for at_once in (2, 8, 24):
+        for concurrency in (2, 8, 24):
             cpu, started = cpu_seconds(pid), time.perf_counter()
-            counts = await asyncio.gather(*(_stream(cluster, session, 12) for _ in range(at_once)))
+            counts = await asyncio.gather(
+                *(_stream(cluster, session, 12) for _ in range(concurrency))
+            )
             seconds = time.perf_counter() - started
             spent = cpu_seconds(pid) - cpu
             total = sum(counts)
             print(
-                f"concurrent streams {at_once:3}  {total / seconds:7.0f} tokens/s"
+                f"concurrent streams {concurrency:3}  {total / seconds:7.0f} tokens/s"
                 f"  {total / spent:7.0f} tokens a second of gateway cpu"
                 f"  ({spent / seconds * 100:.0f} % of a core)",
                 flush=True,
--- a/benchmarks/thin_path.py
+++ b/benchmarks/thin_path.py
@@ -60,10 +60,10 @@
         "max_tokens": 4,
         "resume_tokens": [],
     }
-    turn = iter(range(10**9))
+    request_numbers = iter(range(10**9))
 
     async def send(session):
-        position = next(turn)
+        position = next(request_numbers)
         for choices, path in zip(addresses, paths, strict=True):
             await _post(session, choices[position % len(choices)], path, body)
 
--- a/tests/support/crowd.py
+++ b/tests/support/crowd.py
@@ -151,10 +151,10 @@
         for kind in self.kinds:
             time = 0.0
             while time < seconds:
-                most = kind.rate * 3.0
-                time += self._random.expovariate(most)
-                if self._random.random() < kind.rate * factor(kind.route.name, time) / most:
-                    self.at(time, lambda now, kind=kind: self._arrive(kind, now))
+                max_rate = kind.rate * 3.0
+                time += self._random.expovariate(max_rate)
+                if self._random.random() < kind.rate * factor(kind.route.name, time) / max_rate:
+                    self.at(time, lambda now, kind=kind: self._on_arrival(kind, now))
         for time, fault in faults:
             self.at(time, lambda now, fault=fault: fault(self, now))
         while self._events:
@@ -201,18 +201,20 @@
 
     # ---- requests ----
 
-    def _arrive(self, kind, now):
+    def _on_arrival(self, kind, now):
         customer = self._random.choices(self._customers, self._weights)[0]
         fate = RequestOutcome(kind.route.name, customer, now)
         self.fates.append(fate)
         retries_left = RETRIES if customer in self.repeaters else 1
         name = f"{kind.route.name}{len(self.fates)}"
         counts = kind.draw(self._random)
-        self._ask(_Request(kind, fate, name, counts, now, retries_left, asked_at=now), now)
+        self._request_admission(
+            _Request(kind, fate, name, counts, now, retries_left, asked_at=now), now
+        )
 
-    def _ask(self, request, now):
+    def _request_admission(self, request, now):
         if not any(request.counts):
-            self._end(request, now)
+            self._on_completed(request, now)
             return
         verdict = self._admit(request, now)
         if verdict is None or verdict.admitted:
@@ -220,7 +222,7 @@
         waited = now - request.asked_at
         patience = request.kind.route.aim * MAX_WAIT_RATIO
         if waited + max(ASK_SECONDS, verdict.seconds_to_admission) <= patience:
-            self.at(now + ASK_SECONDS, lambda at: self._ask(request, at))
+            self.at(now + ASK_SECONDS, lambda at: self._request_admission(request, at))
             return
         self.book.record_refusal(request.name, now)
         in_quarter = waited <= request.kind.route.aim / 4
@@ -233,7 +235,7 @@
 
         def retry(at):
             request.asked_at = request.since = at
-            self._ask(request, at)
+            self._request_admission(request, at)
 
         if is_impatient or verdict.retry_after:
             self.at(back, retry)
@@ -274,7 +276,7 @@
         while request.stage < len(request.counts) and not request.counts[request.stage]:
             request.stage += 1
         if request.stage == len(request.counts):
-            self.at(now + request.kind.engine_seconds, lambda at: self._end(request, at))
+            self.at(now + request.kind.engine_seconds, lambda at: self._on_completed(request, at))
             return
         plan = request.kind.route.stages[request.stage]
         self.book.requested(request.name, request.stage)
@@ -307,16 +309,16 @@
     def _abort(self, request):
         request.over, request.fate.outcome = True, LOST
         self.book.ended(request.name)
-        self._free(request.held)
-        self._free(request.made)
+        self._free_results(request.held)
+        self._free_results(request.made)
         for pool in self.pools.values():
             pool.waiting = [job for job in pool.waiting if job.request_id != request.name]
 
-    def _end(self, request, now):
+    def _on_completed(self, request, now):
         if request.over:
             return
         request.over = True
-        self._free(request.held)
+        self._free_results(request.held)
         fate = request.fate
         fate.stages_seconds = now - request.since - request.kind.engine_seconds
         fate.outcome = IN_TIME if now - request.since <= request.kind.route.aim else LATE
@@ -376,17 +378,17 @@
             request.made.append((worker, worker.life, job.result_bytes))
             request.left -= 1
             if not request.left:
-                self._stage_done(request, now)
+                self._on_stage_completed(request, now)
         self._pump(pool, now)
 
-    def _stage_done(self, request, now):
+    def _on_stage_completed(self, request, now):
         self.book.made(request.name, request.stage, self._usual_seconds(request, 0), now)
-        self._free(request.held)
+        self._free_results(request.held)
         request.held, request.made = request.made, []
         request.stage += 1
         self.at(now + HAND_OVER_SECONDS, lambda at: self._begin_stage(request, at))
 
-    def _free(self, held):
+    def _free_results(self, held):
         for worker, life, size in held:
             if worker.life == life:
                 worker.taken -= size
--- a/tests/support/directory_site.py
+++ b/tests/support/directory_site.py
@@ -70,18 +70,18 @@
         self.update_count = 0
         self._site = site
         self._number = number
-        self._life = 0
+        self._incarnation = 0
         self._task: asyncio.Task | None = None
         self.start()
 
     @property
     def identity(self) -> str:
         """Return the identity of the current incarnation."""
-        return f"{self.instance}/{self._life:020x}"
+        return f"{self.instance}/{self._incarnation:020x}"
 
     def start(self) -> None:
         """Start a new incarnation."""
-        self._life += 1
+        self._incarnation += 1
         self.state = "serving"
         self._started_at = clock.monotonic()
         self.follower = ConfigurationFollower(_Links(self), [CONTROL], [], self._describe)
@@ -172,11 +172,11 @@
             await gateway.stop()
 
     def _time_replies(self):
-        make = self.subscribers._reply
+        build_reply = self.subscribers._reply
 
         def timed(request):
             began = time.perf_counter()
-            reply = make(request)
+            reply = build_reply(request)
             self.control_seconds += time.perf_counter() - began
             return reply
 
--- a/tests/support/emulator/runner.py
+++ b/tests/support/emulator/runner.py
@@ -123,7 +123,7 @@
         request = await self._read(reader)
         self.arrivals.append((clock.monotonic(), request["path"]))
         if self.rests and not request["path"].endswith(("/pieces/free", "/report")):
-            self._ask_for_rest(writer, request)
+            self._request_backoff(writer, request)
             return True
         if request["path"].endswith("/pieces/run"):
             return await self._run_pieces(writer, request)
@@ -175,8 +175,10 @@
 
         Both are in seconds after the first time that the target requested a backoff.
         """
-        asked = self.asked_at[0]
-        return [path for at, path in self.arrivals if asked + begin < at < asked + end]
+        requested_at = self.asked_at[0]
+        return [
+            path for at, path in self.arrivals if requested_at + begin < at < requested_at + end
+        ]
 
     def reached_since_left(self, seconds):
         """Return the paths of requests later than `seconds` after the target announced leaving."""
@@ -191,7 +193,7 @@
         times = [at for at, _ in self.arrivals if first < at < last]
         return max((bisect_left(times, at + seconds) - n for n, at in enumerate(times)), default=0)
 
-    def _ask_for_rest(self, writer, request):
+    def _request_backoff(self, writer, request):
         self.rejected.append(request)
         mark = {self.names.not_run: "1"} if self.rests_marked else {}
         extra = {"Retry-After": self.rests.popleft()} | mark
@@ -319,11 +321,11 @@
         if fault == "silent":
             await asyncio.sleep(3600)
         await asyncio.sleep(self.call_seconds)
-        results = [self._make(item) for item in items]
+        results = [self._run_piece(item) for item in items]
         self._answer(writer, request, 200, json.dumps({"items": results}).encode(), signed=False)
         return True
 
-    def _make(self, item):
+    def _run_piece(self, item):
         if self.loses:
             self.loses -= 1
             return {"reason": "gone"}
--- a/tests/support/stage_burst.py
+++ b/tests/support/stage_burst.py
@@ -89,22 +89,22 @@
     def _schedule_arrivals(self, kind, seconds, factor):
         time = 0.0
         while True:
-            most = kind.rate * 3.0
-            time += self._random.expovariate(most)
+            max_rate = kind.rate * 3.0
+            time += self._random.expovariate(max_rate)
             if time > seconds:
                 return
-            if self._random.random() < kind.rate * factor(kind.route.name, time) / most:
-                self._schedule(time, self._arrive(kind))
+            if self._random.random() < kind.rate * factor(kind.route.name, time) / max_rate:
+                self._schedule(time, self._on_arrival(kind))
 
-    def _arrive(self, kind):
+    def _on_arrival(self, kind):
         def step(now):
             fate = RequestOutcome(kind.route.name, now)
             self.fates.append(fate)
-            self._ask(kind, fate, f"{kind.route.name}{len(self.fates)}", now, now)
+            self._request_admission(kind, fate, f"{kind.route.name}{len(self.fates)}", now, now)
 
         return step
 
-    def _ask(self, kind, fate, name, since, now):
+    def _request_admission(self, kind, fate, name, since, now):
         loads = {stage.pool: self.pools[stage.pool].load() for stage in kind.route.stages}
         waited = now - since
         arrival = AdmissionRequest(name, kind.route, kind.counts, 1, kind.slack - waited, 6.0, name)
@@ -115,7 +115,9 @@
         elif waited + ASK_SECONDS > kind.route.aim * MAX_WAIT_RATIO:
             fate.refused = True
         else:
-            self._schedule(now + ASK_SECONDS, lambda at: self._ask(kind, fate, name, since, at))
+            self._schedule(
+                now + ASK_SECONDS, lambda at: self._request_admission(kind, fate, name, since, at)
+            )
 
     def _begin_stage(self, kind, fate, name, since, stage, now):
         while stage < len(kind.counts) and not kind.counts[stage]:
