--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,9 +1,8 @@
 """Measure the slopes behind docs/CAPACITY.md, each at three sizes or more.
 
-Run with: python -m benchmarks.slopes NAME, where NAME is one of subscribers, gateways,
-customers, claims, tokens, routing, histograms, failover, restart, or all. CPU and memory
-are the operating system's own figures of the daemon's process; bytes are
-counted where frames are written and read.
+Run with: python -m benchmarks.slopes NAME, where NAME is one of subscribers, gateways, customers,
+claims, tokens, routing, histograms, failover, restart, or all. CPU and memory are the operating
+system's figures for the daemon's process; bytes are counted where frames are written and read.
 """
 
 import argparse
@@ -34,10 +33,10 @@
 from traystall.tables.targets import TargetRow
 
 _TICKS = os.sysconf("SC_CLK_TCK")
-STEADY_SECONDS = 6.0
+IDLE_SECONDS = 6.0
 
 
-# ---- the operating system's figures ----
+# ---- figures of the operating system ----
 
 
 def cpu_seconds(pid):
@@ -71,7 +70,7 @@
 
 
 class Operator:
-    """Apply bundles straight through the client library."""
+    """Apply bundles through the client library, without the command line."""
 
     def __init__(self, cluster, extra):
         self.base = load_bundle(cluster.bundle).encoded | extra
@@ -79,7 +78,7 @@
         self.number = 1
 
     async def apply(self, changed=None):
-        """Apply the base with some rows changed, as the next number."""
+        """Apply the base with some changed entities, under the next number."""
         self.number += 1
         self.base = self.base | (changed or {})
         request = ttypes.ApplyRequest(
@@ -94,14 +93,14 @@
 
 
 class Watcher:
-    """Watch a control daemon as a gateway does, without serving anything."""
+    """Watch a control daemon as a gateway does, without serving requests."""
 
     def __init__(self, pool, address, number):
         self.link = pool.link(address)
         self.held = HeldRevision()
         self.number = number
         self.directory = FollowedDirectory()
-        self.taken_at = {}
+        self.held_at = {}
 
     async def watch_forever(self):
         """Watch until cancelled."""
@@ -122,11 +121,11 @@
                 reply = await self.link.call(request, 5.0)
                 self.directory.take(reply, time.monotonic())
                 if self.held.take(reply):
-                    self.taken_at[self.held.number] = time.perf_counter()
+                    self.held_at[self.held.number] = time.perf_counter()
 
 
 async def start_watchers(cluster, count):
-    """Return watchers, each on a link of its own, spread over the control daemons."""
+    """Return watchers with a separate link each, distributed over the control daemons."""
     watchers, tasks = [], []
     for number in range(count):
         pool = LinkPool(LinkIdentity(CLUSTER, "gateway", f"watcher-{number}"))
@@ -136,7 +135,7 @@
     return watchers, tasks
 
 
-async def until_taken(watchers, number):
+async def until_held(watchers, number):
     """Return once every watcher holds the number."""
     while any(w.held.number < number for w in watchers):
         await asyncio.sleep(0.002)
@@ -146,9 +145,9 @@
 
 
 def subscribers():
-    """Control daemon: CPU, bytes, memory and time to be in force, by watchers."""
+    """Control daemon: CPU, bytes, memory and time until in force, by watchers."""
     for count in (3, 30, 130, 390):
-        with Cluster("nomina", gateways_per_place=0, log_level="warning") as cluster:
+        with Cluster("nomina", gateways_per_data_centre=0, log_level="warning") as cluster:
             uvloop.run(_subscribers(cluster, count))
 
 
@@ -156,12 +155,12 @@
     watchers, tasks = await start_watchers(cluster, count)
     operator = Operator(cluster, customers(1000))
     await operator.apply()
-    await until_taken(watchers, operator.number)
+    await until_held(watchers, operator.number)
     await asyncio.sleep(2.0)
     leader = (await asyncio.to_thread(cluster.leader))[0]
-    figures = await _steady(cluster, leader)
-    follower = await _steady(cluster, (leader + 1) % 3)
-    delays = [await _time_in_force(operator, watchers) for _ in range(5)]
+    figures = await _idle_figures(cluster, leader)
+    follower = await _idle_figures(cluster, (leader + 1) % 3)
+    delays = [await _seconds_until_in_force(operator, watchers) for _ in range(5)]
     for task in tasks:
         task.cancel()
     print(
@@ -174,24 +173,24 @@
     )
 
 
-async def _steady(cluster, position):
-    """Return (share of a core, bytes a second, MB) of a control daemon with nothing to do."""
+async def _idle_figures(cluster, position):
+    """Return (share of a core, bytes a second, MB) of an idle control daemon."""
     pid = cluster.controls[position].popen.pid
     address = cluster.control_http[position]
     before = cpu_seconds(pid), await asyncio.to_thread(rpc_bytes, address), time.perf_counter()
-    await asyncio.sleep(STEADY_SECONDS)
+    await asyncio.sleep(IDLE_SECONDS)
     seconds = time.perf_counter() - before[2]
     after = await asyncio.to_thread(rpc_bytes, address)
     return (cpu_seconds(pid) - before[0]) / seconds, (after - before[1]) / seconds, resident_mb(pid)
 
 
-async def _time_in_force(operator, watchers):
-    """Return the seconds from the accepted answer until the last watcher has the change."""
+async def _seconds_until_in_force(operator, watchers):
+    """Return the seconds from the accepting reply until the last watcher has the change."""
     name = f"changed-{operator.number}"
     changed = {f"customer/{name}": pack(Customer(name, ("queretaro-a",)))}
     accepted = await operator.apply(changed)
-    await until_taken(watchers, operator.number)
-    last = max(w.taken_at[operator.number] for w in watchers)
+    await until_held(watchers, operator.number)
+    last = max(w.held_at[operator.number] for w in watchers)
     return max(0.0, last - accepted)
 
 
@@ -201,14 +200,14 @@
 def gateways():
     """A gateway without requests: CPU, bytes and memory, by gateways in a data centre.
 
-    The hive's bundle has ten targets in each data centre; each is asked every second.
+    The hive bundle has ten targets in each data centre; a gateway polls each every second.
     """
     for count in (1, 2, 4):
-        with Cluster("hive", gateways_per_place=count, log_level="warning") as cluster:
+        with Cluster("hive", gateways_per_data_centre=count, log_level="warning") as cluster:
             time.sleep(3.0)
             pid, address = cluster.gateways[0].popen.pid, cluster.gateway_addresses[0]
             before = cpu_seconds(pid), rpc_bytes(address), time.perf_counter()
-            time.sleep(STEADY_SECONDS * 2)
+            time.sleep(IDLE_SECONDS * 2)
             seconds = time.perf_counter() - before[2]
             cpu = (cpu_seconds(pid) - before[0]) / seconds * 100
             sent = (rpc_bytes(address) - before[1]) / seconds
@@ -223,7 +222,7 @@
 
 
 def customers_slope():
-    """Control daemon and gateway: memory, bytes of a delta and of a full copy, by customers."""
+    """Control daemon and gateway: memory, size of a delta and of a full copy, by customers."""
     for count in (1000, 4000, 16000):
         with Cluster("nomina", log_level="warning") as cluster:
             uvloop.run(_customers(cluster, count))
@@ -236,7 +235,7 @@
     apply_seconds = time.perf_counter() - started
     await asyncio.to_thread(_wait_gateways, cluster, operator.number)
     watchers, tasks = await start_watchers(cluster, 1)
-    await until_taken(watchers, operator.number)
+    await until_held(watchers, operator.number)
     full = sum(len(k) + len(v) for k, v in watchers[0].held.entities.items())
     pids = [cluster.controls[0].popen.pid, cluster.gateways[0].popen.pid]
     cpu = [cpu_seconds(pid) for pid in pids]
@@ -278,8 +277,8 @@
 
 
 def claims():
-    """Keyed claims a second through three replicas, by how many are asked for at once."""
-    with Cluster("nomina", gateways_per_place=0, log_level="warning") as cluster:
+    """Keyed claims a second through three replicas, by concurrency."""
+    with Cluster("nomina", gateways_per_data_centre=0, log_level="warning") as cluster:
         uvloop.run(_claims(cluster))
 
 
@@ -289,14 +288,14 @@
     pool = LinkPool(LinkIdentity(CLUSTER, "gateway", "claimant"))
     alone = None
     pids = [control.popen.pid for control in cluster.controls]
-    for at_once in (1, 8, 64, 256):
+    for concurrency in (1, 8, 64, 256):
         cpu = [cpu_seconds(pid) for pid in pids]
-        rate, median = await _claim_many(pool.link(address), at_once, 200 + at_once * 12)
+        rate, median = await _claim_many(pool.link(address), concurrency, 200 + concurrency * 12)
         spent = [cpu_seconds(pid) - old for pid, old in zip(pids, cpu, strict=True)]
-        count = 200 + at_once * 12
+        count = 200 + concurrency * 12
         alone = alone or rate
         print(
-            f"claims at once {at_once:4}  {rate:6.0f} /s  ratio to one at once {rate / alone:5.1f}"
+            f"concurrent claims {concurrency:4}  {rate:6.0f} /s  speed-up {rate / alone:5.1f}"
             f"  median {median * 1000:6.2f} ms  cpu a claim: leader"
             f" {spent[leader] / count * 1e6:5.0f} us, follower"
             f" {spent[(leader + 1) % 3] / count * 1e6:5.0f} us",
@@ -304,13 +303,13 @@
         )
 
 
-async def _claim_many(link, at_once, count):
+async def _claim_many(link, concurrency, count):
     left = iter(range(count))
     times = []
 
     async def worker():
         for number in left:
-            key = f"{at_once}-{number}"
+            key = f"{concurrency}-{number}"
             request = ttypes.ClaimRequest(
                 customer="c",
                 key=key,
@@ -326,7 +325,7 @@
             assert reply.outcome == "won"
 
     started = time.perf_counter()
-    await asyncio.gather(*(worker() for _ in range(at_once)))
+    await asyncio.gather(*(worker() for _ in range(concurrency)))
     return count / (time.perf_counter() - started), statistics.median(times)
 
 
@@ -334,7 +333,7 @@
 
 
 def tokens():
-    """Streamed tokens a second that one gateway relays, by streams at once."""
+    """Streamed tokens a second that one gateway relays, by concurrent streams."""
     with Cluster("hive", log_level="warning", seconds={"traystall-pool": 0.0}) as cluster:
         uvloop.run(_tokens(cluster))
 
@@ -343,14 +342,16 @@
     pid = cluster.gateways[0].popen.pid
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as session:
-        for at_once in (2, 8, 24):
+        for concurrency in (2, 8, 24):
             cpu, started = cpu_seconds(pid), time.perf_counter()
-            counts = await asyncio.gather(*(_stream(cluster, session, 12) for _ in range(at_once)))
+            counts = await asyncio.gather(
+                *(_stream(cluster, session, 12) for _ in range(concurrency))
+            )
             seconds = time.perf_counter() - started
             spent = cpu_seconds(pid) - cpu
             total = sum(counts)
             print(
-                f"streams at once {at_once:3}  {total / seconds:7.0f} tokens/s"
+                f"concurrent streams {concurrency:3}  {total / seconds:7.0f} tokens/s"
                 f"  {total / spent:7.0f} tokens a second of gateway cpu"
                 f"  ({spent / seconds * 100:.0f} % of a core)",
                 flush=True,
@@ -399,11 +400,11 @@
         )
 
 
-# ---- learned times ----
+# ---- learned durations ----
 
 
 def histograms():
-    """Memory of a gateway's learned times, by (pipeline, stage) pairs."""
+    """Memory of a gateway's learned durations, by (pipeline, stage) pairs."""
     from traystall.systems.estimates import TimeTable
 
     before, held = resident_mb(os.getpid()), []
@@ -423,16 +424,16 @@
 
 
 def failover():
-    """Time until a killed leader is replaced, in shortest election time-outs of 1 s."""
+    """Time until a killed leader is replaced, in minimum election timeouts of 1 s."""
     times = []
     for _ in range(5):
-        with Cluster("nomina", gateways_per_place=0, log_level="warning") as cluster:
+        with Cluster("nomina", gateways_per_data_centre=0, log_level="warning") as cluster:
             leader = cluster.leader()[0]
             cluster.controls[leader].kill()
             times.append(uvloop.run(_until_claim(cluster, leader)))
     print(
         f"fail-over, kill to first commit: median {statistics.median(times):.2f}"
-        f" (min {min(times):.2f}, max {max(times):.2f}) election time-outs",
+        f" (min {min(times):.2f}, max {max(times):.2f}) election timeouts",
         flush=True,
     )
 
@@ -461,7 +462,7 @@
     for count, entries in ((1000, 100), (4000, 2000), (16000, 10000)):
         flags = ["--snapshot-every=1000000"]
         with Cluster(
-            "nomina", gateways_per_place=0, log_level="warning", control_flags=flags
+            "nomina", gateways_per_data_centre=0, log_level="warning", control_flags=flags
         ) as cluster:
             uvloop.run(_fill(cluster, count, entries))
             follower = (cluster.leader()[0] + 1) % 3
--- a/tests/benchmarks/test_account.py
+++ b/tests/benchmarks/test_account.py
@@ -1,10 +1,10 @@
-"""The account of a day adds up its report and reads calls and refusals from the logs."""
+"""The account of a day combines its report with calls and refusals from the logs."""
 
 import json
 
 import msgspec
 
-from benchmarks.account import account, decisions, fill_of_calls, part_of, refusals, times_of_stages
+from benchmarks.account import account, calls_by_pool, decisions, quantile, refusals, stage_times
 from tests.benchmarks.test_compare import BODY
 
 
@@ -32,28 +32,28 @@
 ]
 
 
-def test_lines_that_are_no_records_are_passed_over():
+def test_lines_without_a_record_are_skipped():
     assert len(list(decisions(LOG))) == 9
 
 
 def test_calls_are_summed_by_pool():
-    fill = fill_of_calls(list(decisions(LOG)))["p"]
-    assert (fill.calls, fill.pieces, fill.largest) == (3, 12, 7)
-    assert fill.targets == {"t-1", "t-2"}
-    assert fill.partial_in_a_crowd() == 1
+    calls_of_pool = calls_by_pool(list(decisions(LOG)))["p"]
+    assert (calls_of_pool.calls, calls_of_pool.pieces, calls_of_pool.largest) == (3, 12, 7)
+    assert calls_of_pool.targets == {"t-1", "t-2"}
+    assert calls_of_pool.partial_with_full_queue() == 1
 
 
-def test_refusals_tell_first_tries_from_those_that_came_back():
+def test_refusals_separate_first_attempts_from_retries():
     assert refusals(list(decisions(LOG))) == {("r", False): 1, ("r", True): 2}
 
 
-def test_times_of_stages_say_what_was_waited_called_and_handed_over():
-    times = times_of_stages(list(decisions(LOG)))
+def test_stage_times_have_queue_call_and_hand_over():
+    times = stage_times(list(decisions(LOG)))
     assert times.keys() == {("r", 0), ("r", 1)}
     assert times["r", 0].seconds == [300, 400]
     assert times["r", 0].handed_over == [10, 10]
-    assert part_of(times["r", 0].waited, 0.9) == 100
-    assert part_of(times["r", 0].waited, 0.1) == 10
+    assert quantile(times["r", 0].waited, 0.9) == 100
+    assert quantile(times["r", 0].waited, 0.1) == 10
 
 
 def test_the_whole_account_is_printed(tmp_path, capsys):
--- a/tests/support/crowd.py
+++ b/tests/support/crowd.py
@@ -1,9 +1,10 @@
-"""Replay a crowd of staged requests through pools with room for results.
+"""Simulate an overload of staged requests on pools with limited result memory.
 
-Only time is simulated: what waits is ordered and batched by `batching.take_batch`, who may begin
-is decided by the admission book, as in the daemon. One cell, one data centre. A call takes as long
-as its profile says; the pieces of one stage end together; what a request holds is given up when its
-last reader has read it. Callers heed Retry-After once, repeaters come back at once.
+Only time is simulated: `batching.select_batch` orders and batches the queue and the admission
+controller decides which requests start, as in the daemon. There is one cell in one data centre. A
+call takes as long as its batch profile says; all pieces of one stage finish together; a result is
+freed when its last reader has read it. Callers honour Retry-After once, impatient callers retry
+at once.
 """
 
 import heapq
@@ -20,17 +21,17 @@
 from traystall.passthrough.stages.pace import next_call_time
 from traystall.routes.models import BatchProfile, Pool, Route, Split, StagePlan
 
-# How often a request that waits to be let in asks again, and how long it waits at the most, in
-# seconds and as a part of its aim: as in the batcher.
+# Interval at which a request that waits for admission asks again, in seconds, and its longest wait
+# as a ratio of the route's `aim`. Both are those of the batcher.
 ASK_SECONDS = 0.05
-PATIENCE_PART = 0.2
-# From one stage's end to the next one's arrival in its queue, in seconds: two hops each way.
+MAX_WAIT_RATIO = 0.2
+# Time from the end of a stage until the next stage is queued, in seconds: two hops each way.
 HAND_OVER_SECONDS = 0.012
-# A gateway that batches is missed after so long, in seconds.
-MISSED_SECONDS = 0.5
-# Repeaters come back so often, after so many seconds.
-REPEATS = 3
-REPEAT_SECONDS = 0.05
+# Time until other gateways detect the loss of a batching gateway, in seconds.
+LOSS_DETECTION_SECONDS = 0.5
+# Number of immediate retries of an impatient caller, and the delay between them.
+RETRIES = 3
+RETRY_SECONDS = 0.05
 
 IN_TIME = "in time"
 LATE = "late"
@@ -40,9 +41,10 @@
 
 
 class CrowdKind(msgspec.Struct, frozen=True):
-    """Describe one kind: its route, requests a second, and pieces of each stage as (mean, share).
-
-    `engine_seconds` is what it needs after its stages.
+    """Describe a kind of request: its route, requests a second, and its pieces.
+    `pieces` has (mean, share of requests with the stage) for each stage. `engine_seconds` is the
+    time that the request needs after its stages.
+        that the request needs after its stages.
     """
 
     route: Route
@@ -52,7 +54,7 @@
     deadline: float = 6.0
 
     def draw(self, chance: random.Random) -> tuple[int, ...]:
-        """Return the pieces of one request; at least one in all."""
+        """Return the pieces of one request for each stage; at least one in all."""
         counts = [
             max(1, round(chance.gauss(mean, mean * 0.3))) if chance.random() < share else 0
             for mean, share in self.pieces
@@ -60,8 +62,8 @@
         return tuple(counts)
 
 
-class Fate(msgspec.Struct):
-    """Tell what became of one request, as its caller sees it over all its tries."""
+class RequestOutcome(msgspec.Struct):
+    """Hold the outcome of one request over all attempts, as its caller sees it."""
 
     kind: str
     customer: str
@@ -71,7 +73,7 @@
 
 
 class CrowdWorker(msgspec.Struct, eq=False):
-    """Hold one target: when it is free, how slow it is, the bytes that it holds."""
+    """Hold the state of one target: when it is free, its slowdown, and the bytes it holds."""
 
     free_at: float = 0.0
     ratio: float = 1.0
@@ -80,7 +82,7 @@
 
 
 class CrowdPool:
-    """Hold one pool: its targets and what waits for them."""
+    """Hold one pool: its targets and its queue."""
 
     def __init__(self, targets: int, profile: BatchProfile):
         self.workers = [CrowdWorker() for _ in range(targets)]
@@ -89,15 +91,15 @@
         self.calls: list[int] = []
         self.last_began = float("-inf")
         self.call_seconds = profile.seconds(1)
-        self.timer = float("-inf")
+        self.next_check_at = float("-inf")
 
     def rate(self, now: float) -> float:
-        """Return the pieces a second that its targets make with full calls."""
+        """Return the pieces a second that the targets run with full calls."""
         full = self.profile.batch / self.profile.seconds(self.profile.batch)
         return full * sum(1 / w.ratio for w in self.workers if w.free_at < now + 2.0)
 
     def load(self, now: float) -> PoolLoad:
-        """Return what admission is told of this pool."""
+        """Return the load of the pool as reported to admission."""
 
         def waiting(priority, due=float("inf")):
             return sum(1 for job in self.waiting if job.priority <= priority and job.due <= due)
@@ -107,11 +109,11 @@
 
 class _Request(msgspec.Struct, eq=False):
     kind: CrowdKind
-    fate: Fate
+    fate: RequestOutcome
     name: str
     counts: tuple[int, ...]
     since: float
-    repeats: int
+    retries_left: int
     asked_at: float = 0.0
     stage: int = 0
     left: int = 0
@@ -122,7 +124,7 @@
 
 
 class Crowd:
-    """Play arrivals of some kinds and customers by a seed."""
+    """Simulate arrivals of some kinds and customers from a seed."""
 
     def __init__(self, pools, kinds, seed=1, shared=None, customers=16, skew=1.2):
         self.pools: dict[str, CrowdPool] = pools
@@ -132,7 +134,7 @@
             tables = {name: Pool(name, batches=pool.profile) for name, pool in pools.items()}
             shared = shared_pools([kind.route for kind in kinds], tables)
         self.shared: frozenset[str] = shared
-        self.fates: list[Fate] = []
+        self.fates: list[RequestOutcome] = []
         self.repeaters: set[str] = set()
         self._customers = [f"c{i}" for i in range(customers)]
         self._weights = [1 / (i + 1) ** skew for i in range(customers)]
@@ -141,18 +143,18 @@
         self._order = itertools.count()
         self._jobs: dict[str, _Request] = {}
 
-    def run(self, seconds: float, factor, faults=()) -> list[Fate]:
-        """Play so many seconds; `factor(kind, time)` is how much more than usual comes.
+    def run(self, seconds: float, factor, faults=()) -> list[RequestOutcome]:
+        """Simulate `seconds`; `factor(kind, time)` scales the usual arrival rate.
 
-        `faults` are pairs of a time and what is called with this crowd and that time.
+        `faults` are pairs of a time and a callable that is called with this crowd and that time.
         """
         for kind in self.kinds:
             time = 0.0
             while time < seconds:
-                most = kind.rate * 3.0
-                time += self._random.expovariate(most)
-                if self._random.random() < kind.rate * factor(kind.route.name, time) / most:
-                    self.at(time, lambda now, kind=kind: self._arrive(kind, now))
+                max_rate = kind.rate * 3.0
+                time += self._random.expovariate(max_rate)
+                if self._random.random() < kind.rate * factor(kind.route.name, time) / max_rate:
+                    self.at(time, lambda now, kind=kind: self._on_arrival(kind, now))
         for time, fault in faults:
             self.at(time, lambda now, fault=fault: fault(self, now))
         while self._events:
@@ -161,13 +163,13 @@
         return self.fates
 
     def at(self, time, step):
-        """Call `step(time)` then."""
+        """Schedule `step(time)`."""
         heapq.heappush(self._events, (time, next(self._order), step))
 
     # ---- faults ----
 
     def crash(self, pool: str, count: int, seconds: float):
-        """Return a fault that ends targets of a pool for a while, with what they make and hold."""
+        """Return a fault that ends targets of a pool for a while and loses their results."""
 
         def fault(now):
             for worker in self.pools[pool].workers[:count]:
@@ -186,7 +188,7 @@
         return fault
 
     def lose_batcher(self, _, now):
-        """Lose what the batching gateway knows: who waits asks another one anew."""
+        """Lose the state of the batching gateway: waiting requests ask another gateway anew."""
         waits = self.book.waits(now)
         self.book = AdmissionController()
         self.book.merge_peer_waits(waits, 0.2, now)
@@ -195,49 +197,51 @@
         for request in list(self._jobs.values()):
             if request.began and not request.over and request.left:
                 request.left = 0
-                self.at(now + MISSED_SECONDS, lambda at, r=request: self._admit(r, at))
+                self.at(now + LOSS_DETECTION_SECONDS, lambda at, r=request: self._admit(r, at))
 
-    # ---- a request ----
+    # ---- requests ----
 
-    def _arrive(self, kind, now):
+    def _on_arrival(self, kind, now):
         customer = self._random.choices(self._customers, self._weights)[0]
-        fate = Fate(kind.route.name, customer, now)
+        fate = RequestOutcome(kind.route.name, customer, now)
         self.fates.append(fate)
-        repeats = REPEATS if customer in self.repeaters else 1
+        retries_left = RETRIES if customer in self.repeaters else 1
         name = f"{kind.route.name}{len(self.fates)}"
         counts = kind.draw(self._random)
-        self._ask(_Request(kind, fate, name, counts, now, repeats, asked_at=now), now)
+        self._request_admission(
+            _Request(kind, fate, name, counts, now, retries_left, asked_at=now), now
+        )
 
-    def _ask(self, request, now):
+    def _request_admission(self, request, now):
         if not any(request.counts):
-            self._end(request, now)
+            self._on_completed(request, now)
             return
         verdict = self._admit(request, now)
         if verdict is None or verdict.admitted:
             return
         waited = now - request.asked_at
-        patience = request.kind.route.aim * PATIENCE_PART
+        patience = request.kind.route.aim * MAX_WAIT_RATIO
         if waited + max(ASK_SECONDS, verdict.seconds_to_admission) <= patience:
-            self.at(now + ASK_SECONDS, lambda at: self._ask(request, at))
+            self.at(now + ASK_SECONDS, lambda at: self._request_admission(request, at))
             return
         self.book.record_refusal(request.name, now)
         in_quarter = waited <= request.kind.route.aim / 4
         request.fate.outcome = REFUSED_AT_ONCE if in_quarter else REFUSED_LATE
-        if not request.repeats:
+        if not request.retries_left:
             return
-        request.repeats -= 1
-        eager = request.fate.customer in self.repeaters
-        back = now + (REPEAT_SECONDS if eager else verdict.retry_after)
+        request.retries_left -= 1
+        is_impatient = request.fate.customer in self.repeaters
+        back = now + (RETRY_SECONDS if is_impatient else verdict.retry_after)
 
-        def come_back(at):
+        def retry(at):
             request.asked_at = request.since = at
-            self._ask(request, at)
+            self._request_admission(request, at)
 
-        if eager or verdict.retry_after:
-            self.at(back, come_back)
+        if is_impatient or verdict.retry_after:
+            self.at(back, retry)
 
     def _admit(self, request, now):
-        """Ask the book; whoever may, or has begun, asks for the next stage."""
+        """Request admission; an admitted or already started request asks for its next stage."""
         kind = request.kind
         loads = {s.pool: self.pools[s.pool].load(now) for s in kind.route.stages}
         left = request.since + kind.route.aim - now - kind.engine_seconds
@@ -246,7 +250,7 @@
             kind.route,
             request.counts,
             1,
-            left - self._usual(request, 0),
+            left - self._usual_seconds(request, 0),
             request.fate.at + kind.deadline - now,
             request.name,
             customer=request.fate.customer,
@@ -260,7 +264,7 @@
             return None
         return verdict
 
-    def _usual(self, request, stage):
+    def _usual_seconds(self, request, stage):
         stages = request.kind.route.stages
         return sum(
             self.pools[s.pool].profile.seconds(self.pools[s.pool].profile.batch)
@@ -272,12 +276,12 @@
         while request.stage < len(request.counts) and not request.counts[request.stage]:
             request.stage += 1
         if request.stage == len(request.counts):
-            self.at(now + request.kind.engine_seconds, lambda at: self._end(request, at))
+            self.at(now + request.kind.engine_seconds, lambda at: self._on_completed(request, at))
             return
         plan = request.kind.route.stages[request.stage]
         self.book.requested(request.name, request.stage)
         left = request.since + request.kind.route.aim - now - request.kind.engine_seconds
-        due = now + left - self._usual(request, request.stage)
+        due = now + left - self._usual_seconds(request, request.stage)
         request.left = request.counts[request.stage]
         pool = self.pools[plan.pool]
         pool.waiting += [
@@ -295,26 +299,26 @@
             )
             for piece in range(request.left)
         ]
-        self.at(request.fate.at + request.kind.deadline, lambda at: self._too_late(request))
+        self.at(request.fate.at + request.kind.deadline, lambda at: self._on_deadline(request))
         self._pump(pool, now)
 
-    def _too_late(self, request):
+    def _on_deadline(self, request):
         if not request.over:
-            self._lose(request)
+            self._abort(request)
 
-    def _lose(self, request):
+    def _abort(self, request):
         request.over, request.fate.outcome = True, LOST
         self.book.ended(request.name)
-        self._free(request.held)
-        self._free(request.made)
+        self._free_results(request.held)
+        self._free_results(request.made)
         for pool in self.pools.values():
             pool.waiting = [job for job in pool.waiting if job.request_id != request.name]
 
-    def _end(self, request, now):
+    def _on_completed(self, request, now):
         if request.over:
             return
         request.over = True
-        self._free(request.held)
+        self._free_results(request.held)
         fate = request.fate
         fate.stages_seconds = now - request.since - request.kind.engine_seconds
         fate.outcome = IN_TIME if now - request.since <= request.kind.route.aim else LATE
@@ -326,7 +330,7 @@
         for worker in pool.workers:
             if worker.free_at > now or not pool.waiting:
                 continue
-            if self._is_kept_back(pool, now):
+            if self._is_paced(pool, now):
                 break
             room = pool.profile.room_bytes - worker.taken
             target = FreeTarget(workers=len(pool.workers))
@@ -343,11 +347,11 @@
             life = worker.life
             self.at(
                 worker.free_at,
-                lambda at, w=worker, b=batch, life=life: self._called(pool, w, b, life, at),
+                lambda at, w=worker, b=batch, life=life: self._on_call_ended(pool, w, b, life, at),
             )
 
-    def _is_kept_back(self, pool, now):
-        """Return whether the next call waits for an even pace; look again when it may begin."""
+    def _is_paced(self, pool, now):
+        """Return whether pacing delays the next call; if so, schedule a check at its start."""
         if not self.shared.intersection({name for name, p in self.pools.items() if p is pool}):
             return False
         waiting, targets = len(pool.waiting), len(pool.workers)
@@ -356,17 +360,17 @@
         )
         if begin <= now + 1e-6:
             return False
-        if pool.timer <= now:
-            pool.timer = begin
+        if pool.next_check_at <= now:
+            pool.next_check_at = begin
             self.at(begin, lambda at: self._pump(pool, at))
         return True
 
-    def _called(self, pool, worker, batch, life, now):
+    def _on_call_ended(self, pool, worker, batch, life, now):
         for job in batch:
             request = self._jobs[job.request_id]
             if life != worker.life:
                 if not request.over:
-                    self._lose(request)
+                    self._abort(request)
                 continue
             if request.over or job.stage != request.stage or not request.left:
                 worker.taken -= job.result_bytes
@@ -374,25 +378,25 @@
             request.made.append((worker, worker.life, job.result_bytes))
             request.left -= 1
             if not request.left:
-                self._stage_done(request, now)
+                self._on_stage_completed(request, now)
         self._pump(pool, now)
 
-    def _stage_done(self, request, now):
-        self.book.made(request.name, request.stage, self._usual(request, 0), now)
-        self._free(request.held)
+    def _on_stage_completed(self, request, now):
+        self.book.made(request.name, request.stage, self._usual_seconds(request, 0), now)
+        self._free_results(request.held)
         request.held, request.made = request.made, []
         request.stage += 1
         self.at(now + HAND_OVER_SECONDS, lambda at: self._begin_stage(request, at))
 
-    def _free(self, held):
+    def _free_results(self, held):
         for worker, life, size in held:
             if worker.life == life:
                 worker.taken -= size
         held.clear()
 
 
-def read_out(fates: list[Fate], by: str = "kind") -> dict[str, Counter[str]]:
-    """Return how the requests of each kind, or of each customer, ended."""
+def read_out(fates: list[RequestOutcome], by: str = "kind") -> dict[str, Counter[str]]:
+    """Return the outcomes of the requests by kind, or by customer."""
     found: dict[str, Counter[str]] = {}
     for fate in fates:
         found.setdefault(getattr(fate, by), Counter())[fate.outcome] += 1
@@ -400,12 +404,12 @@
 
 
 def served_part(counts: Counter[str]) -> float:
-    """Return the part that was answered in time."""
+    """Return the ratio of requests that were answered in time."""
     return counts[IN_TIME] / max(1, counts.total())
 
 
 def chain(name: str, aim: float, *stages: tuple[str, int]) -> Route:
-    """Return a route whose stages, as (pool, bytes of a result), read one another in order."""
+    """Return a route of stages, as (pool, bytes of a result), where each reads the one before."""
     plans = tuple(
         StagePlan(pool, (i - 1,) if i else (), size) for i, (pool, size) in enumerate(stages)
     )
@@ -413,7 +417,7 @@
 
 
 def patient_and_impatient() -> tuple[dict[str, CrowdPool], list[CrowdKind]]:
-    """Return three pools that a patient kind fills, and an impatient one with the same chain."""
+    """Return three pools, a kind with a long `aim` that fills them, and one with a short `aim`."""
     pools = {
         "portal": CrowdPool(9, BatchProfile(1, 2, 20, 0.2, 0.0086, 48e6, 4.0)),
         "meter": CrowdPool(8, BatchProfile(1, 2, 47, 0.2, 0.0036, 6.298e6, 4.0)),
@@ -429,7 +433,7 @@
 
 
 def alike_in_patience() -> tuple[dict[str, CrowdPool], list[CrowdKind]]:
-    """Return three pools and two kinds with one chain whose aims are nearly the same."""
+    """Return three pools and two kinds with one chain and nearly the same `aim`."""
     pools = {
         "registry": CrowdPool(10, BatchProfile(1, 2, 17, 0.2, 0.01, 37.8e6, 4.0)),
         "notices": CrowdPool(8, BatchProfile(1, 2, 60, 0.2, 0.0029, 7.78e6, 4.0)),
--- a/tests/support/emulator/runner.py
+++ b/tests/support/emulator/runner.py
@@ -1,7 +1,7 @@
-"""A target at the level of bytes: plain services, stages with room, engines with events.
+"""An emulated target on plain sockets: services, stages with result memory, and event streams.
 
-Faults are switches by name; each is taken once, in order, by the next request.
-What it ran is kept in `runs`, what it rejected in `rejected`.
+Faults are named and applied in order, each to one request. The requests that ran are kept in
+`runs`, the rejected ones in `rejected`.
 """
 
 import asyncio
@@ -35,7 +35,7 @@
 
 
 class Runner:
-    """Serve on a free port of the loopback."""
+    """Serve one target on a free loopback port."""
 
     def __init__(self, identity="r-1", names=None, faults=(), events=0, batch=0, room=10**9):
         self.identity = identity
@@ -44,10 +44,10 @@
         self.events = events
         self.batch = batch
         self.room = room
-        # What a report counts for each result.
+        # Bytes that a report counts for each result.
         self.result_bytes = 10
         self.loses = 0
-        # So many calls that give results up are reset unread.
+        # Number of calls that free results and are reset before the target reads them.
         self.resets_frees = 0
         self.call_seconds = 0.0
         self.event_seconds = 0.0
@@ -59,26 +59,26 @@
         self.freed = []
         self.dropped = 0
         self.connections = 0
-        # A request whose body holds this ends the target as soon as it begins to run.
+        # A request with this text in its body ends the target as soon as it starts to run.
         self.ends_on = b""
         self.ends = 0
         self.is_up = False
-        # The next requests are turned away, each with one of these as its Retry-After; whether
-        # such an answer also has the mark that the request has not run.
+        # Retry-After values: each of the next requests is rejected with one of them. The flag tells
+        # whether the response also states that the request has not run.
         self.rests = deque()
         self.rests_marked = True
-        # When it has asked for rest (monotonic seconds) and for how long, and when each request
-        # has reached it.
+        # Times of the requested backoffs (monotonic seconds) with their lengths, and the arrival
+        # time of each request.
         self.asked_at = []
         self.asked_for = []
         self.arrivals = []
-        # Whether all its answers say that it leaves, and when the first one did.
+        # Whether all responses state that the target is leaving, and the time of the first one.
         self.leaves = False
         self.left_at = None
-        # What all its answers name as the requests a second that it takes from all gateways, None
-        # while they name nothing, and when the first one did.
+        # Limit that all responses announce, in requests a second from all gateways together (None:
+        # no limit is announced), and the time of the first announcement.
         self.limit = None
-        self.named_at = None
+        self.limit_announced_at = None
         self.address = ""
         self._server = None
         self._writers = set()
@@ -91,7 +91,7 @@
         return self
 
     async def start_again(self, identity=None):
-        """Start a new life at the address of the last one, under its name or another."""
+        """Start a new incarnation at the last address, under the same identity or another."""
         self.identity = identity or self.identity
         host, _, port = self.address.rpartition(":")
         self._server = await asyncio.start_server(self._serve, host, int(port))
@@ -101,7 +101,7 @@
         self.end()
 
     def end(self):
-        """End at once, as a process that is killed: nothing listens, every connection breaks."""
+        """End at once like a killed process: the port closes and every connection breaks."""
         self.is_up = False
         self._server.close()
         for writer in list(self._writers):
@@ -123,7 +123,7 @@
         request = await self._read(reader)
         self.arrivals.append((clock.monotonic(), request["path"]))
         if self.rests and not request["path"].endswith(("/pieces/free", "/report")):
-            self._ask_for_rest(writer, request)
+            self._request_backoff(writer, request)
             return True
         if request["path"].endswith("/pieces/run"):
             return await self._run_pieces(writer, request)
@@ -171,24 +171,29 @@
         return {"method": method, "path": path, "headers": headers, "raw": raw, "body": body}
 
     def reached_within(self, begin, end):
-        """Return the paths of what reached it in a time after it asked for rest, in seconds."""
-        asked = self.asked_at[0]
-        return [path for at, path in self.arrivals if asked + begin < at < asked + end]
+        """Return the paths of the requests that arrived between `begin` and `end`.
+
+        Both are in seconds after the first time that the target requested a backoff.
+        """
+        requested_at = self.asked_at[0]
+        return [
+            path for at, path in self.arrivals if requested_at + begin < at < requested_at + end
+        ]
 
     def reached_since_left(self, seconds):
-        """Return the paths of what reached it later than so long after it said that it leaves."""
+        """Return the paths of requests later than `seconds` after the target announced leaving."""
         return [path for at, path in self.arrivals if at > self.left_at + seconds]
 
     def most_within(self, seconds, begin, end=float("inf")):
-        """Return the most requests that reached it in some span of so many seconds.
+        """Return the largest number of requests in any span of `seconds`.
 
-        Only those that came between `begin` and `end` seconds after it first named a limit count.
+        Only requests between `begin` and `end` seconds after the first announced limit count.
         """
-        first, last = self.named_at + begin, self.named_at + end
+        first, last = self.limit_announced_at + begin, self.limit_announced_at + end
         times = [at for at, _ in self.arrivals if first < at < last]
         return max((bisect_left(times, at + seconds) - n for n, at in enumerate(times)), default=0)
 
-    def _ask_for_rest(self, writer, request):
+    def _request_backoff(self, writer, request):
         self.rejected.append(request)
         mark = {self.names.not_run: "1"} if self.rests_marked else {}
         extra = {"Retry-After": self.rests.popleft()} | mark
@@ -262,7 +267,7 @@
             self.left_at = self.left_at or clock.monotonic()
         if self.limit is not None:
             headers[self.names.limit] = self.limit
-            self.named_at = self.named_at or clock.monotonic()
+            self.limit_announced_at = self.limit_announced_at or clock.monotonic()
         lines = [f"HTTP/1.1 {status} X"] + [f"{k}: {v}" for k, v in headers.items()]
         writer.write("\r\n".join(lines).encode() + b"\r\n\r\n")
 
@@ -316,11 +321,11 @@
         if fault == "silent":
             await asyncio.sleep(3600)
         await asyncio.sleep(self.call_seconds)
-        results = [self._make(item) for item in items]
+        results = [self._run_piece(item) for item in items]
         self._answer(writer, request, 200, json.dumps({"items": results}).encode(), signed=False)
         return True
 
-    def _make(self, item):
+    def _run_piece(self, item):
         if self.loses:
             self.loses -= 1
             return {"reason": "gone"}
@@ -346,7 +351,7 @@
 
 
 def _reset(writer):
-    """Send a reset rather than an orderly end."""
+    """Reset the connection instead of closing it in order."""
     import socket
     import struct
 
--- a/tests/support/group.py
+++ b/tests/support/group.py
@@ -1,8 +1,8 @@
-"""A group of replicas under a seeded schedule of faults, on virtual clocks.
+"""A simulated consensus group under a seeded schedule of faults, on virtual clocks.
 
-The code under test is the daemon's own: the replica, the state machine and the
-gateway's held revision. Only disk, network and clock are fakes. Invariants are
-checked after every step; a breach raises `Breach`.
+The code under test is the daemon's own: the replica, the state machine and the gateway's held
+revision. Only disk, network and clock are fakes. Invariants are checked after every step; a
+violation raises `Breach`.
 """
 
 import random
@@ -17,21 +17,21 @@
 __all__ = ["Breach", "Disk", "Group", "Host"]
 
 STEP_SECONDS = 0.02
-# The first choices of a step are no faults; the density of faults leaves them alone.
-_CALM_CHOICES = 9
+# The first choices of a step are not faults; the fault density does not change their weights.
+_FAULTLESS_CHOICES = 9
 
 
 class Group(Faults, Users):
-    """Run hosts, operators, claimants and gateways under one seed."""
+    """Run hosts, operators, claimants and gateways from one seed."""
 
     host_class = Host
 
     def __init__(self, seed, size=3, faults=True):
         self.random = random.Random(seed)
         self.time = 0.0
-        # How fast time goes compared with messages, and how dense faults are, in this schedule.
+        # The passage of time relative to messages, and the density of faults, in this schedule.
         self.pace = self.random.choice((0.15, 0.4, 1.0))
-        self.density = self.random.choice((0.5, 1.0, 2.0))
+        self.fault_density = self.random.choice((0.5, 1.0, 2.0))
         self.messages = []
         self.cuts = set()
         self.steps = 0
@@ -41,37 +41,37 @@
         self.accepted = {}
         self.dispatched = {}
         self.released = set()
-        self.given_back = set()
+        self.confirmed_releases = set()
         self.claims = 0
         self.revisions = [HeldRevision() for _ in range(2)]
         self.held_evacuations = [EvacuationCache() for _ in range(2)]
         self.evacuated = {}
-        # The highest version that an operator was told.
+        # The highest version that was acknowledged to an operator.
         self.acknowledged = 0
         self.digests = {}
         self.hook = None
         self.effects = set()
         self.hosts = [self.host_class(self, f"c{n}") for n in range(size)]
-        self._refound()
+        self._form_group()
 
     # ---- running ----
 
     def run(self, steps):
-        """Take random steps, checking after each."""
+        """Take random steps and check the invariants after each."""
         for _ in range(steps):
             self.step()
 
     def step(self):
         """Take one step and check every invariant."""
         self.steps += 1
-        # Mostly much happens within one lease; now and then time passes.
+        # Most steps are short, so that many fall into one lease; a few let more time pass.
         longest = 0.006 if self.random.random() < 0.93 else 0.4
         self.time += self.random.uniform(0, longest) * self.pace
         self._choose()()
         self.check()
 
     def settle(self):
-        """Heal everything and run calmly until a new command commits everywhere."""
+        """Repair all faults and run without faults until a new command commits everywhere."""
         self.faults = False
         self.cuts.clear()
         for host in self.hosts:
@@ -80,7 +80,7 @@
                 host.boot()
         done = []
         for _ in range(2000):
-            self._calm_round()
+            self._run_faultless_round()
             leader = self.lease_holder()
             if leader is not None and self.random.random() < 0.2:
                 claim = self._claim_command(f"settle{self.steps}", "settle")
@@ -91,30 +91,32 @@
         raise Breach("the healed group did not commit a new command")
 
     def _check_evacuations_kept(self, leader):
-        """Every order that was acknowledged is in the state of whoever leads in the end."""
+        """Check that every acknowledged order is in the state of the final leader."""
         places = leader.state.evacuations.places
         if places.version < self.acknowledged:
-            raise Breach(f"evacuations fell back to {places.version} of {self.acknowledged}")
-        self.note_evacuated(places)
+            raise Breach(
+                f"evacuations went back to version {places.version} from {self.acknowledged}"
+            )
+        self.record_evacuated(places)
 
-    def _calm_round(self):
-        """Let every host tick, sync and get its messages."""
+    def _run_faultless_round(self):
+        """Let every host tick, sync and receive its messages."""
         self.steps += 1
         self.time += STEP_SECONDS
-        self._refound()
+        self._form_group()
         for host in self.hosts:
             host.replica.tick(host.now)
             host.pump()
             host.sync(len(host.disk.jobs))
         for _ in range(len(self.messages)):
-            self._hand(*self.messages.pop(0))
+            self._hand_message(*self.messages.pop(0))
         self.check()
 
-    def _refound(self):
-        """Found the group again if every replica is empty, as the daemons do."""
+    def _form_group(self):
+        """Form the group again if every replica is empty, as the daemons do."""
         if all(h.runs and not h.replica.log.last_index for h in self.hosts):
             if not self.committed:
-                # Nothing of an earlier founding was ever committed: this is another group.
+                # Nothing was committed before: this is a new group, which may reuse the old terms.
                 self.leaders.clear()
             founder = self.hosts[0]
             members = [MemberRecord(h.identity, h.name, "", True) for h in self.hosts]
@@ -145,7 +147,7 @@
                 (0.25, self.crash),
                 (0.8, self._reboot),
                 (0.25, self.freeze),
-                (0.8, self._thaw),
+                (0.8, self._unfreeze),
                 (0.15, self.cut),
                 (0.3, self._cut_link),
                 (0.5, self._heal),
@@ -154,10 +156,10 @@
                 (0.12, self.wipe),
                 (0.8, self._repair),
                 (0.4, self._hand_over),
-                (0.3, self._refound),
+                (0.3, self._form_group),
             ]
-        weights = [weight for weight, _ in choices[:_CALM_CHOICES]]
-        weights += [weight * self.density for weight, _ in choices[_CALM_CHOICES:]]
+        weights = [weight for weight, _ in choices[:_FAULTLESS_CHOICES]]
+        weights += [weight * self.fault_density for weight, _ in choices[_FAULTLESS_CHOICES:]]
         return self.random.choices([action for _, action in choices], weights)[0]
 
     # ---- network ----
@@ -168,7 +170,7 @@
             self.messages.append((sender.name, message))
 
     def effect(self, kind, host):
-        """Note an effect of the core; a matrix test strikes here."""
+        """Record an effect of the replica; the hook lets a test inject a fault at this point."""
         self.effects.add(kind)
         if self.hook is not None:
             self.hook(kind, host)
@@ -178,9 +180,9 @@
         for _ in range(min(len(self.messages), self.random.randint(1, 5))):
             last = len(self.messages) - 1
             position = 0 if self.random.random() < 0.85 else self.random.randint(0, last)
-            self._hand(*self.messages.pop(position))
+            self._hand_message(*self.messages.pop(position))
 
-    def _hand(self, sender, message):
+    def _hand_message(self, sender, message):
         name = message.to.split("/")[0]
         host = next((h for h in self.hosts if h.name == name), None)
         if host is None or not host.alive or (sender, name) in self.cuts:
@@ -205,10 +207,10 @@
         content = (entry.term, entry.kind, bytes(entry.command or b""))
         known = self.committed.setdefault(entry.index, content)
         if known != content:
-            raise Breach(f"{host.identity} applied another entry at {entry.index}")
+            raise Breach(f"{host.identity} applied a different entry at {entry.index}")
 
     def check(self):
-        """Check what must hold between any two steps."""
+        """Check the invariants that hold between any two steps."""
         holders = [h for h in self.hosts if h.alive and h.replica.holds_lease(h.now)]
         if len(holders) > 1:
             raise Breach("two replicas hold the lease at once")
@@ -230,4 +232,4 @@
             return
         for index in range(log.snapshot_index + 1, newest + 1):
             if log.term_at(index) != self.committed[index][0]:
-                raise Breach(f"the leader of term {host.replica.term} lacks entry {index}")
+                raise Breach(f"the leader of term {host.replica.term} does not have entry {index}")
--- a/tests/support/raw_target.py
+++ b/tests/support/raw_target.py
@@ -1,4 +1,4 @@
-"""A target at the level of bytes, which misbehaves at a chosen point of an exchange."""
+"""A target on plain sockets that fails at a chosen point of an exchange."""
 
 import asyncio
 import json
@@ -11,26 +11,26 @@
 
 
 class RawTarget:
-    """Answer each request by the next fault of a script, then properly."""
+    """Apply the next fault of a list to each request; respond properly without a fault."""
 
     def __init__(self, kind="service", faults=()):
         self.kind = kind
         self.faults = list(faults)
         self.runs: list[dict] = []
         self.seen: list[str] = []
-        # A request whose body holds this ends the target; it listens again after so many seconds.
+        # A request with this text in its body ends the target; it restarts after `restart_seconds`.
         self.ends_on = ""
         self.ends = 0
-        self.back_seconds = 0.3
-        # What it answers as Retry-After when it asks for rest.
+        self.restart_seconds = 0.3
+        # Retry-After value of the responses that request a backoff.
         self.rest = ""
-        # What all its answers name as the requests a second that it takes, None while they name
-        # nothing, and when each request reached it (monotonic seconds).
+        # Limit that all responses announce, in requests a second (None: no limit is announced),
+        # and the arrival time of each request (monotonic seconds).
         self.limit = None
         self.arrivals = []
         self.address = ""
         self._server = None
-        self._open = set()
+        self._writers = set()
 
     async def start(self):
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -42,25 +42,25 @@
 
     async def stop(self):
         self._server.close()
-        for writer in list(self._open):
+        for writer in list(self._writers):
             writer.transport.abort()
 
-    async def _end_and_come_back(self):
+    async def _end_and_restart(self):
         self.ends += 1
         await self.stop()
-        await asyncio.sleep(self.back_seconds)
+        await asyncio.sleep(self.restart_seconds)
         host, _, port = self.address.rpartition(":")
         self._server = await asyncio.start_server(self._serve, host, int(port))
 
     async def _serve(self, reader, writer):
-        self._open.add(writer)
+        self._writers.add(writer)
         try:
             while await self._serve_one(reader, writer):
                 pass
         except (ConnectionError, asyncio.IncompleteReadError, asyncio.CancelledError):
             pass
         finally:
-            self._open.discard(writer)
+            self._writers.discard(writer)
             writer.close()
 
     async def _serve_one(self, reader, writer):
@@ -91,7 +91,7 @@
             return True
         self.runs.append({"attempt": attempt, "key": headers.get(KEY_HEADER.lower(), "")})
         if self.ends_on and self.ends_on in body:
-            self.coming_back = asyncio.create_task(self._end_and_come_back())
+            self.restart_task = asyncio.create_task(self._end_and_restart())
             return False
         return await self._answer(writer, fault, attempt, json.loads(body))
 
@@ -149,7 +149,7 @@
         self._write(writer, 200, "", json.dumps({"known": known, "result": result}))
 
     def most_within(self, seconds, begin):
-        """Return the most requests in some span of so many seconds, of those after `begin`."""
+        """Return the largest number of requests after `begin` in any span of `seconds`."""
         times = [at for at in self.arrivals if at > begin]
         return max((bisect_left(times, at + seconds) - n for n, at in enumerate(times)), default=0)
 
--- a/tests/support/rest_soak.py
+++ b/tests/support/rest_soak.py
@@ -1,8 +1,8 @@
-"""Random days of targets that ask for rest, name limits, leave, fail and start again.
+"""Randomized soak test of targets that request backoff, announce limits, leave and fail.
 
     python -m tests.support.rest_soak --seeds 50
 
-What a day may break is judged from what reached the targets, not from what the gateway knows.
+The checks use only the requests that reached the targets, not the state of the gateway.
 """
 
 import asyncio
@@ -19,11 +19,12 @@
 from traystall.registry.models import TargetReport
 
 DAY_SECONDS = 4.0
-PER_SECOND = 60
-# What is on its way may still arrive, in seconds, and so many requests later than that.
+REQUESTS_PER_SECOND = 60
+# Requests in transit may still arrive for SLACK_SECONDS after a backoff has begun, and up to
+# MAX_REQUESTS_IN_BACKOFF requests later in it.
 SLACK_SECONDS = 0.5
-MOST_IN_REST = 2
-# A limit is kept from so long after a target has begun to name it, in any span, in seconds.
+MAX_REQUESTS_IN_BACKOFF = 2
+# Time until a newly announced limit holds, and the span in which it is checked, in seconds.
 KNOWN_SECONDS = 0.6
 SPAN_SECONDS = 1.0
 LIMITS = ("0.5", "2", "10", None)
@@ -32,38 +33,40 @@
 STREAMS = ("/events/x", "/staged/x")
 FAULTS = ("failed", "shed without the mark", "closed after running", "not run", "garbage")
 STATUSES = {200, 500, 502, 503, 504}
-UPKEEP = ("/pieces/free", "/report")
+INTERNAL_PATHS = ("/pieces/free", "/report")
 
 
-class Life(msgspec.Struct):
-    """Hold what one life of a target has asked for, and what reached it."""
+class IncarnationRecord(msgspec.Struct):
+    """Hold the demands of one incarnation of a target, and the requests that reached it."""
 
     name: str
     rests: list[tuple[float, float]]
     left_at: float | None
     arrivals: list[tuple[float, str]]
-    # (from, to, requests a second) of each time in which it named a limit.
+    # (from, to, requests a second) of each period with an announced limit.
     limits: list[tuple[float, float, float]] = []
 
-    def broken(self) -> list[str]:
-        """Return what reached it against its word."""
+    def violations(self) -> list[str]:
+        """Return the requests that violate the demands of the target."""
         found = []
         for at, seconds in self.rests:
             inside = [p for t, p in self.arrivals if at + SLACK_SECONDS < t < at + seconds]
-            if len(inside) > MOST_IN_REST:
-                found.append(f"{self.name}: {len(inside)} in a rest of {seconds} s, {set(inside)}")
+            if len(inside) > MAX_REQUESTS_IN_BACKOFF:
+                found.append(
+                    f"{self.name}: {len(inside)} in a backoff of {seconds} s, {set(inside)}"
+                )
         if self.left_at is not None:
             late = [
                 path
                 for t, path in self.arrivals
-                if t > self.left_at + SLACK_SECONDS and not path.endswith(UPKEEP)
+                if t > self.left_at + SLACK_SECONDS and not path.endswith(INTERNAL_PATHS)
             ]
             if late:
-                found.append(f"{self.name}: {len(late)} after it said that it leaves, {set(late)}")
-        return found + self._beyond()
+                found.append(f"{self.name}: {len(late)} after it announced leaving, {set(late)}")
+        return found + self._limit_violations()
 
-    def _beyond(self):
-        """Return where more reached it than its limit allows."""
+    def _limit_violations(self):
+        """Return the violations of the announced limits."""
         found = []
         for begins, ends, limit in self.limits:
             times = [t for t, _ in self.arrivals if begins + KNOWN_SECONDS < t < ends]
@@ -73,21 +76,21 @@
         return found
 
 
-class Day:
-    """Play one day."""
+class Scenario:
+    """Run one scenario."""
 
     def __init__(self, seed: int):
         self._random = random.Random(seed)
         self._runners: dict[str, tuple[str, Runner]] = {}
         self._started: dict[str, int] = {}
-        self._lives: list[Life] = []
-        self._wrong: list[str] = []
-        # Since when each target names its limit, and the times that are over.
+        self._incarnations: list[IncarnationRecord] = []
+        self._violations: list[str] = []
+        # The start of each target's current limit, and its past periods with a limit.
         self._limited_at: dict[str, float] = {}
         self._limits: dict[str, list[tuple[float, float, float]]] = {}
 
     async def play(self) -> list[str]:
-        """Return what went wrong."""
+        """Return the violations."""
         for pool, count in {"plain": 3, "engine": 2, "batches": 3}.items():
             for number in range(count):
                 name = f"{pool}-{number}"
@@ -97,19 +100,21 @@
         async with EmulatedGateway(table(stages=STAGES), []) as self._gateway:
             for name in self._runners:
                 self._report(name, 1000)
-            trouble = asyncio.create_task(self._trouble())
+            injection = asyncio.create_task(self._inject_faults())
             calls = []
-            for _ in range(int(DAY_SECONDS * PER_SECOND)):
+            for _ in range(int(DAY_SECONDS * REQUESTS_PER_SECOND)):
                 calls.append(asyncio.create_task(self._call()))
-                await asyncio.sleep(1 / PER_SECOND)
-            trouble.cancel()
+                await asyncio.sleep(1 / REQUESTS_PER_SECOND)
+            injection.cancel()
             with contextlib.suppress(asyncio.CancelledError):
-                await trouble
+                await injection
             await asyncio.gather(*calls)
         for name, (_, runner) in self._runners.items():
-            self._end_life(name)
+            self._end_incarnation(name)
             await runner.stop()
-        return self._wrong + [line for life in self._lives for line in life.broken()]
+        return self._violations + [
+            line for record in self._incarnations for line in record.violations()
+        ]
 
     def _report(self, name, started):
         pool, runner = self._runners[name]
@@ -123,31 +128,38 @@
         try:
             status, _, body = await self._gateway.call(path, **headers)
         except aiohttp.ClientError as error:
-            # A stream whose target ended can't go on: it is cut, and must not look whole.
+            # A stream whose target ended cannot continue: it is cut, and must not look complete.
             if path not in STREAMS:
-                self._wrong.append(f"{path}: {error!r}")
+                self._violations.append(f"{path}: {error!r}")
             return
         if status not in STATUSES:
-            self._wrong.append(f"{path}: {status}")
+            self._violations.append(f"{path}: {status}")
         if status == 200 and path not in STREAMS and body != b"answer to hello":
-            self._wrong.append(f"{path}: {body!r}")
-
-    async def _trouble(self):
-        events = (self._rest, self._rest, self._rest, self._leave, self._fail, self._start_again)
-        events += (self._limit,)
+            self._violations.append(f"{path}: {body!r}")
+
+    async def _inject_faults(self):
+        events = (
+            self._request_backoff,
+            self._request_backoff,
+            self._request_backoff,
+            self._leave,
+            self._fail,
+            self._restart,
+        )
+        events += (self._change_limit,)
         while True:
             await asyncio.sleep(self._random.uniform(0.05, 0.2))
             await self._random.choice((*events, self._evacuate))(
                 self._random.choice(list(self._runners))
             )
 
-    async def _rest(self, name):
+    async def _request_backoff(self, name):
         _, runner = self._runners[name]
         runner.rests.append(str(round(self._random.uniform(0.6, 2.5), 2)))
         runner.rests_marked = self._random.random() < 0.7
 
-    async def _limit(self, name):
-        """Let a target name another limit, or none any more."""
+    async def _change_limit(self, name):
+        """Change or remove the limit that a target announces."""
         self._close_limit(name)
         runner = self._runners[name][1]
         runner.limit = self._random.choice(LIMITS)
@@ -172,49 +184,51 @@
         await asyncio.sleep(0.02)
         self._gateway.evacuate()
 
-    async def _start_again(self, name):
-        """End a target; its next life is known at once, or after its first answers."""
+    async def _restart(self, name):
+        """Restart a target; it is reported at once, or after its first responses."""
         _, runner = self._runners[name]
         runner.end()
-        self._end_life(name)
+        self._end_incarnation(name)
         await asyncio.sleep(self._random.uniform(0.0, 0.1))
         await runner.start_again()
         if self._random.random() < 0.5:
             await asyncio.sleep(0.15)
         self._report(name, self._started[name] + 1000)
 
-    def _end_life(self, name):
+    def _end_incarnation(self, name):
         _, runner = self._runners[name]
         self._close_limit(name)
         rests = list(zip(runner.asked_at, map(float, runner.asked_for), strict=True))
         limits = self._limits.pop(name, [])
-        life = Life(f"{name}@{self._started[name]}", rests, runner.left_at, runner.arrivals, limits)
-        self._lives.append(life)
+        record = IncarnationRecord(
+            f"{name}@{self._started[name]}", rests, runner.left_at, runner.arrivals, limits
+        )
+        self._incarnations.append(record)
         runner.rests.clear()
         runner.asked_at, runner.asked_for, runner.arrivals = [], [], []
         runner.leaves, runner.left_at = False, None
-        runner.limit, runner.named_at = None, None
+        runner.limit, runner.limit_announced_at = None, None
 
 
 def play_day(seed: int) -> list[str]:
-    """Return what went wrong on the day of a seed."""
+    """Return the violations in the scenario of a seed."""
 
     async def bounded():
         async with asyncio.timeout(DAY_SECONDS * 5):
-            return await Day(seed).play()
+            return await Scenario(seed).play()
 
     return asyncio.run(bounded())
 
 
 def main(seeds: int = 10, first: int = 1) -> None:
-    """Play SEEDS days from the seed FIRST on, and print what went wrong."""
-    broken = 0
+    """Run SEEDS scenarios from the seed FIRST on, and print the violations."""
+    failed = 0
     for seed in range(first, first + seeds):
         found = play_day(seed)
-        broken += bool(found)
+        failed += bool(found)
         for line in found:
             print(f"seed {seed}: {line}", flush=True)
-    print(f"{seeds} days, {broken} with something broken")
+    print(f"{seeds} scenarios, {failed} with violations")
 
 
 if __name__ == "__main__":
--- a/tests/support/stage_burst.py
+++ b/tests/support/stage_burst.py
@@ -1,7 +1,7 @@
-"""Replay a burst of staged requests through pools, with admission as the daemon does it.
+"""Simulate a burst of staged requests on pools, with the daemon's admission control.
 
-Only time is simulated: queues hand out calls first come, first served, each
-target one call at a time. No room, no data centres, no failures.
+Only time is simulated: queues are first come, first served, and each target runs one call at a
+time. There is no limit of result memory, there are no data centres and no failures.
 """
 
 import heapq
@@ -14,25 +14,25 @@
 from traystall.passthrough.admission.forecast import PoolLoad
 from traystall.routes.models import BatchProfile, Route, Split, StagePlan
 
-# How often a request that waits to be let in asks again, and how long it waits at the most, in
-# seconds and as a part of its aim: as in the batcher.
+# Interval at which a request that waits for admission asks again, in seconds, and its longest wait
+# as a ratio of the route's `aim`. Both are those of the batcher.
 ASK_SECONDS = 0.05
-PATIENCE_PART = 0.2
+MAX_WAIT_RATIO = 0.2
 
 
 class SimPool:
-    """Hold one pool: its targets and what waits for them."""
+    """Hold one pool: its targets and its queue."""
 
     def __init__(self, targets: int, profile: BatchProfile):
         self.targets = targets
         self.free = targets
         self.profile = profile
         self.waiting: list[tuple[int, int, object]] = []
-        self.pieces_made = 0
+        self.pieces_run = 0
         self.calls = 0
 
     def load(self) -> PoolLoad:
-        """Return what admission is told of this pool."""
+        """Return the load of the pool as reported to admission."""
         full = self.profile.seconds(self.profile.batch)
 
         def waiting(priority, due):
@@ -42,7 +42,7 @@
 
 
 class Kind(msgspec.Struct, frozen=True):
-    """Describe one kind of request: its route, rate a second, pieces, and time for its stages."""
+    """Describe a kind of request: its route, requests a second, pieces, and time for its stages."""
 
     route: Route
     rate: float
@@ -50,8 +50,8 @@
     slack: float
 
 
-class Fate(msgspec.Struct):
-    """Tell what became of one request; `wait` is what was forecast when it was let in."""
+class RequestOutcome(msgspec.Struct):
+    """Hold the outcome of one request; `wait` is the wait that was forecast at its admission."""
 
     kind: str
     at: float
@@ -62,19 +62,19 @@
 
 
 class Burst:
-    """Play arrivals of some kinds, each of them by a seed of its own."""
+    """Simulate arrivals of some kinds from a seed."""
 
     def __init__(self, pools: dict[str, SimPool], kinds: list[Kind], seed: int = 1):
         self.pools = pools
         self.kinds = kinds
         self.book = AdmissionController()
-        self.fates: list[Fate] = []
+        self.fates: list[RequestOutcome] = []
         self._random = random.Random(seed)
         self._events: list = []
         self._order = itertools.count()
 
-    def run(self, seconds: float, factor, admit=None) -> list[Fate]:
-        """Play so many seconds; `factor(kind, time)` is how much more than usual comes."""
+    def run(self, seconds: float, factor, admit=None) -> list[RequestOutcome]:
+        """Simulate `seconds`; `factor(kind, time)` scales the usual arrival rate."""
         self._admit = admit or self.book.admit
         for kind in self.kinds:
             self._schedule_arrivals(kind, seconds, factor)
@@ -83,28 +83,28 @@
             step(time)
         return self.fates
 
-    def _at(self, time, step):
+    def _schedule(self, time, step):
         heapq.heappush(self._events, (time, next(self._order), step))
 
     def _schedule_arrivals(self, kind, seconds, factor):
         time = 0.0
         while True:
-            most = kind.rate * 3.0
-            time += self._random.expovariate(most)
+            max_rate = kind.rate * 3.0
+            time += self._random.expovariate(max_rate)
             if time > seconds:
                 return
-            if self._random.random() < kind.rate * factor(kind.route.name, time) / most:
-                self._at(time, self._arrive(kind))
+            if self._random.random() < kind.rate * factor(kind.route.name, time) / max_rate:
+                self._schedule(time, self._on_arrival(kind))
 
-    def _arrive(self, kind):
+    def _on_arrival(self, kind):
         def step(now):
-            fate = Fate(kind.route.name, now)
+            fate = RequestOutcome(kind.route.name, now)
             self.fates.append(fate)
-            self._ask(kind, fate, f"{kind.route.name}{len(self.fates)}", now, now)
+            self._request_admission(kind, fate, f"{kind.route.name}{len(self.fates)}", now, now)
 
         return step
 
-    def _ask(self, kind, fate, name, since, now):
+    def _request_admission(self, kind, fate, name, since, now):
         loads = {stage.pool: self.pools[stage.pool].load() for stage in kind.route.stages}
         waited = now - since
         arrival = AdmissionRequest(name, kind.route, kind.counts, 1, kind.slack - waited, 6.0, name)
@@ -112,10 +112,12 @@
         if verdict.admitted:
             fate.wait = verdict.wait
             self._begin_stage(kind, fate, name, since, 0, now)
-        elif waited + ASK_SECONDS > kind.route.aim * PATIENCE_PART:
+        elif waited + ASK_SECONDS > kind.route.aim * MAX_WAIT_RATIO:
             fate.refused = True
         else:
-            self._at(now + ASK_SECONDS, lambda at: self._ask(kind, fate, name, since, at))
+            self._schedule(
+                now + ASK_SECONDS, lambda at: self._request_admission(kind, fate, name, since, at)
+            )
 
     def _begin_stage(self, kind, fate, name, since, stage, now):
         while stage < len(kind.counts) and not kind.counts[stage]:
@@ -151,10 +153,10 @@
             )
             pool.free -= 1
             pool.calls += 1
-            pool.pieces_made += len(batch)
-            self._at(now + pool.profile.seconds(len(batch)), self._ended(pool, batch))
+            pool.pieces_run += len(batch)
+            self._schedule(now + pool.profile.seconds(len(batch)), self._finish_call(pool, batch))
 
-    def _ended(self, pool, batch):
+    def _finish_call(self, pool, batch):
         def step(now):
             pool.free += 1
             for _, _, done in batch:
@@ -165,7 +167,7 @@
 
 
 def chain(name: str, aim: float, *pools: str) -> Route:
-    """Return a route whose stages read one another in order."""
+    """Return a route whose stages each read the one before."""
     stages = tuple(StagePlan(pool, (i - 1,) if i else ()) for i, pool in enumerate(pools))
     return Route(name, "h", "/", (Split("engine"),), aim=aim, stages=stages)
 
