--- a/traystall/passthrough/entry/drain.py
+++ b/traystall/passthrough/entry/drain.py
@@ -1,11 +1,13 @@
-"""Stop a gateway without cutting what it has taken.
-
-Callers go on using open connections until they are closed, so a stop has three
-phases. While the balancer has not noticed, requests are served and each answer
-asks its caller to leave. Then nothing new is taken: idle connections are
-closed, and a request that crosses the close is refused as not run. At the end
-whatever has no answer yet gets one of the gateway's own; only a stream that has
-begun can still be cut.
+"""Graceful shutdown of a gateway.
+
+Callers keep using open connections until these are closed, so a shutdown has three phases:
+
+1. Until the load balancer has noticed the stop, requests are served, and each response closes its
+   connection.
+2. No new requests are accepted: idle connections are closed, and a request that arrives at the
+   same moment is refused as not run.
+3. After a time limit, every request without a response gets a refusal. Only streams that have
+   already started are cut off.
 """
 
 import asyncio
@@ -14,13 +16,12 @@
 
 from traystall.http.server import HttpServer
 
-# How long the last answers may take to leave the process, in seconds;
-# some round trips of the pages' slowest link.
+# Time for the last responses to leave the process: some round trips of the slowest supported link.
 _FLUSH_SECONDS = 0.05
 
 
 class Phase(StrEnum):
-    """Say how far a stop has come."""
+    """Phase of a graceful shutdown."""
 
     SERVING = "serving"
     NOTICE = "notice"
@@ -28,10 +29,7 @@
 
 
 class Drain:
-    """Take one front through the phases of a stop.
-
-    `sleep` waits for some seconds.
-    """
+    """Run the phases of a graceful shutdown."""
 
     def __init__(
         self,
@@ -44,12 +42,12 @@
         self._sleep = sleep
 
     async def run(self, notice: float, limit: float) -> None:
-        """Serve for `notice` seconds more, then finish what is in flight within `limit`."""
+        """Keep serving for `notice` seconds, then finish requests in flight within `limit`."""
         self._front.phase = Phase.NOTICE
         await self._sleep(notice)
         await self._server.stop_listening()
         self._front.phase = Phase.CLOSED
-        # The other connections close after their answer.
+        # Busy connections close after their response.
         self._server.close_idle()
         await self._front.drain(limit)
         if self._front.end_unanswered():
--- a/traystall/passthrough/entry/events.py
+++ b/traystall/passthrough/entry/events.py
@@ -1,22 +1,22 @@
-"""Cut a stream of server-sent events at the ends of events, and read their ids."""
+"""Split a stream of server-sent events into events, and read their ids."""
 
 _BOUNDARIES = (b"\n\n", b"\r\n\r\n")
 _ID_FIELD = b"id:"
 
 
 class EventSplitter:
-    """Collect bytes and hand out whole events; a partial one is kept back."""
+    """Buffer bytes and return complete events; a partial one stays in the buffer."""
 
     def __init__(self):
         self._partial = bytearray()
 
     @property
     def partial(self) -> bytes:
-        """Return what has come of an event that is not whole."""
+        """Return the received bytes of an incomplete event."""
         return bytes(self._partial)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take in bytes and return the events that are now whole, their ends included."""
+        """Add bytes and return the events that are complete now, with their terminators."""
         self._partial += data
         events = []
         while (end := _end_of_event(self._partial)) >= 0:
@@ -26,7 +26,7 @@
 
 
 def event_id(event: bytes) -> str | None:
-    """Return the id that an event carries, or None."""
+    """Return the id of an event, or None if it has none."""
     for line in event.splitlines():
         if line.startswith(_ID_FIELD):
             return line[len(_ID_FIELD) :].strip().decode("latin-1")
@@ -34,7 +34,7 @@
 
 
 def follows(event: bytes, last_id: str | None) -> bool:
-    """Return whether an event comes after the one called `last_id`; unnumbered ones do."""
+    """Return whether an event comes after `last_id`; events without a numeric id always do."""
     own = event_id(event)
     if own is None or last_id is None or not (own.isdigit() and last_id.isdigit()):
         return True
@@ -42,7 +42,7 @@
 
 
 def is_next(event: bytes, last_id: str | None) -> bool:
-    """Return whether nothing is missing between the event called `last_id` and this one."""
+    """Return whether an event directly follows `last_id`, with no event missing in between."""
     own = event_id(event)
     if own is None or last_id is None or not (own.isdigit() and last_id.isdigit()):
         return True
--- a/traystall/passthrough/entry/front.py
+++ b/traystall/passthrough/entry/front.py
@@ -1,4 +1,4 @@
-"""The callers' side: find the route, check the key, and give each request its one answer."""
+"""Handle callers' requests: find the route, check the key, and send exactly one response each."""
 
 import asyncio
 import logging
@@ -16,30 +16,30 @@
 from traystall.passthrough.exchange.runner import PassRunner
 from traystall.routes.matching import allowed_data_centres, choose_pool
 
-NOT_READY_RETRY_AFTER = 0.5
-# A gateway that has just started lets requests wait this long, in seconds, for the routes.
-_START_SECONDS = 0.8
-# Another gateway takes a request that this one refuses because it stops, so soon, in seconds.
-STOPPING_RETRY_AFTER = 0.05
-# A new configuration takes about so long to arrive, in seconds: 40 KB beside traffic on 5 Mbit/s.
-BEHIND_RETRY_AFTER = 0.3
+_NOT_READY_RETRY_AFTER_SECONDS = 0.5
+# Time that requests wait for the first configuration after a start.
+_CONFIGURATION_WAIT_SECONDS = 0.8
+# A retry after a refusal by a stopping gateway goes to another gateway, so it can come at once.
+_STOPPING_RETRY_AFTER_SECONDS = 0.05
+# Typical delay until a new configuration arrives: 40 KB beside other traffic on a 5 Mbit/s link.
+_BEHIND_RETRY_AFTER_SECONDS = 0.3
 
 logger = logging.getLogger(__name__)
 
 
 class PassFront:
-    """Handle every request that a caller sends."""
+    """Handle callers' requests."""
 
     def __init__(self, context: PassContext):
         self._context = context
         self._runner = PassRunner(context)
-        # How many requests have no whole answer yet.
+        # Number of requests without a complete response.
         self.in_flight = 0
         self.phase = Phase.SERVING
         self._running: set[PassRequest] = set()
 
     async def handle(self, request: Request) -> Response | None:
-        """Answer one request; every path ends in one whole answer or a broken connection."""
+        """Handle one request; every path ends in a complete response or a closed connection."""
         self.in_flight += 1
         try:
             response = await self._answer(request)
@@ -58,11 +58,11 @@
             await asyncio.sleep(0.02)
 
     def end_unanswered(self) -> int:
-        """Give every request that still waits its final answer now; return how many do.
+        """End all requests whose response has not started; return their number.
 
-        A stream that has begun can't be answered any more: it goes on until the process ends.
+        A stream that has started can't get another response: it continues until the process ends.
         """
-        waiting = [passed for passed in self._running if passed.end_now()]
+        waiting = [passed for passed in self._running if passed.time_out_now()]
         if waiting:
             logger.info("unanswered at the end of a stop", extra={"requests": len(waiting)})
         return len(waiting)
@@ -70,13 +70,13 @@
     async def _answer(self, request):
         started = clock.monotonic()
         if self.phase is Phase.CLOSED:
-            raise Refusal(503, "stopping", "This gateway stops.", STOPPING_RETRY_AFTER)
+            raise Refusal(503, "stopping", "This gateway stops.", _STOPPING_RETRY_AFTER_SECONDS)
         index = self._context.index
         if not index.number and self.phase is Phase.SERVING:
-            await self._context.wait_for_configuration(_START_SECONDS)
+            await self._context.wait_for_configuration(_CONFIGURATION_WAIT_SECONDS)
             index = self._context.index
         if not index.number:
-            raise Refusal(503, "not-ready", "No configuration yet.", NOT_READY_RETRY_AFTER)
+            raise Refusal(503, "not-ready", "No configuration yet.", _NOT_READY_RETRY_AFTER_SECONDS)
         route = index.route(request.get("Host"), request.path)
         if route is None:
             raise self._denial(404, "no-route", "No route has this host and path.")
@@ -105,29 +105,30 @@
             return await self._runner.run(request, passed)
         finally:
             self._running.discard(passed)
-            self._log(passed)
+            self._log_outcome(passed)
 
     def _customer(self, request, route):
-        """Return who sent a request, or None where nobody needs to be known."""
+        """Return the authenticated customer, or None if the request may be anonymous."""
         index = self._context.index
         if not index.requires_key:
             return None
         scheme, _, key = request.get("Authorization").partition(" ")
-        known = scheme.lower() == self._context.names.key_scheme.lower()
-        customer = index.customer(key.strip()) if known else None
+        is_key_scheme = scheme.lower() == self._context.names.key_scheme.lower()
+        customer = index.customer(key.strip()) if is_key_scheme else None
         if customer is None and not route.public:
             raise self._denial(401, "unknown-key", "The request shows no key that is known.")
         return customer
 
     def _denial(self, status, code, why) -> Refusal:
-        """Return the refusal of what the configuration in force here doesn't allow.
+        """Return the refusal of a request that the configuration in force does not allow.
 
-        The next one may allow it: until that has arrived nobody is told that it never will be,
-        as callers were for 13 s by gateways to which a configuration of 314 KB did not get through.
+        A newer configuration may allow it. While one is on its way the refusal is a temporary 503
+        instead of the final status: gateways that a 314 KB configuration did not reach for 13 s
+        sent permanent errors for routes that existed.
         """
         if self._context.is_behind():
             return Refusal(
-                503, "behind", "A newer configuration is on its way.", BEHIND_RETRY_AFTER
+                503, "behind", "A newer configuration is on its way.", _BEHIND_RETRY_AFTER_SECONDS
             )
         return Refusal(status, code, why)
 
@@ -159,11 +160,11 @@
             number=self._context.index.number,
         )
         if refusal.status in (400, 413):
-            # A body that was not read must not be taken for the next request.
+            # Unread bytes of the body would be parsed as the next request.
             request.keep_alive = False
         return text_response(refusal.status, f"{refusal.code}\n", headers)
 
-    def _log(self, passed):
+    def _log_outcome(self, passed):
         metrics.requests_total.inc({"pipeline": passed.route.name, "outcome": passed.outcome})
         decision(
             "passed",
--- a/traystall/passthrough/entry/messages.py
+++ b/traystall/passthrough/entry/messages.py
@@ -1,7 +1,7 @@
-"""Turn a caller's request into a target's, and a target's answer into a caller's.
+"""Convert callers' requests for targets, and targets' responses for callers.
 
-Method, path, query and body stay as they are; headers that concern one
-connection only, and those that only a gateway sets, are left out.
+Method, path, query and body are forwarded unchanged. Hop-by-hop headers, and headers that only a
+gateway may set, are removed.
 """
 
 import msgspec
@@ -29,7 +29,7 @@
 
 
 class CallerRequest(msgspec.Struct, frozen=True):
-    """Hold a request as it came: raw target and headers, the whole body."""
+    """A caller's request: the raw request target and headers, and the complete body."""
 
     method: str
     target: str
@@ -37,7 +37,7 @@
     body: bytes
 
     def get(self, name: str) -> str | None:
-        """Return the first header called `name`, in any case, or None."""
+        """Return the first header with this name, ignoring case, or None."""
         wanted = name.lower().encode()
         for key, value in self.headers:
             if key.lower() == wanted:
@@ -55,7 +55,7 @@
         self._kept = _end_to_end(request.headers, dropped, names.key_scheme)
 
     def write(self, extra: dict[str, str]) -> bytes:
-        """Return the bytes of the request with the headers in `extra` besides."""
+        """Return the encoded request; headers in `extra` are added or replace the caller's."""
         request = self._request
         replaced = {name.lower().encode() for name in extra}
         lines = [f"{request.method} {request.target} HTTP/1.1".encode("utf-8", "surrogateescape")]
@@ -80,11 +80,11 @@
         if lowered in _HOP_BY_HOP or lowered in named or lowered in dropped:
             continue
         if lowered == b"authorization" and value.lower().startswith(scheme):
-            continue  # A customer's key is not shown to targets.
+            continue  # Targets must not see customers' keys.
         kept.append((name, value))
     return kept
 
 
 def answer_headers(head: ResponseHead) -> list[Header]:
-    """Return the headers of a target's answer that go on to the caller."""
+    """Return the headers of a target's response that are forwarded to the caller."""
     return _end_to_end(head.headers, frozenset(), "\0")
--- a/traystall/passthrough/entry/request.py
+++ b/traystall/passthrough/entry/request.py
@@ -1,4 +1,4 @@
-"""One request on its way through a gateway: what it asks, its deadline, what became of it."""
+"""The state of one request at a pass-through gateway: parameters, deadline and outcome."""
 
 import asyncio
 
@@ -12,21 +12,22 @@
 from traystall.quarantine.guard import GuardedRun
 from traystall.routes.models import KeyedCustomer, Route
 
-# A final answer is given this long before the deadline, in seconds, so that it arrives in time.
-ANSWER_MARGIN = 0.03
-# Callers of streams wait so many times the aim, and so many seconds at least, for the first event.
-_PATIENCE_AIMS = 4.0
-_MIN_PATIENCE = 2.0
-_PATIENCE_PART = 0.9
-# A stage that makes more than this is read where it is made: at 10 MB for a second of waiting
-# (the exchange rate of batching) it is worth 0.1 s.
-_HEAVY_BYTES = 1_000_000
+# The final response is sent this long before the deadline, so that it arrives in time.
+_RESPONSE_MARGIN_SECONDS = 0.03
+# Callers of a stream wait this many times the route's aim for the first event, and at least this
+# many seconds. The stages may use this ratio of that time.
+_PATIENCE_AIM_RATIO = 4.0
+_MIN_PATIENCE_SECONDS = 2.0
+_STAGES_PATIENCE_RATIO = 0.9
+# Larger results are read in the data centre where they are produced. Batching trades 10 MB of
+# transfer for one second of waiting, so a result of this size is worth 0.1 s.
+_LARGE_RESULT_BYTES = 1_000_000
 
 
 class MadeStage(msgspec.Struct, frozen=True):
-    """Tell how long a stage took, how long it waited for its call and how long that took, seconds.
+    """Durations of a completed stage in seconds: in total, waiting for its call, and in the call.
 
-    What is left of it went to and fro between gateways.
+    The rest of the total is transfer time between gateways.
     """
 
     stage: int
@@ -35,12 +36,12 @@
     called: float
 
     def to_log(self) -> list[float]:
-        """Return its figures, in milliseconds, after its number."""
+        """Return the number of the stage, followed by the durations in milliseconds."""
         return [self.stage, *(round(s * 1000) for s in (self.seconds, self.waited, self.called))]
 
 
 class PassRequest:
-    """Hold one request; times are monotonic seconds."""
+    """State of one request; times are monotonic seconds."""
 
     def __init__(
         self,
@@ -58,7 +59,7 @@
         self.customer = customer
         self.names = names
         self.started = started
-        # The data centres in which it may run; none means anywhere.
+        # Data centres in which the request may run; empty means anywhere.
         self.places = places
         self.request_id = caller.get(names.request_id) or ""
         self.writer = RequestWriter(caller, names)
@@ -75,19 +76,19 @@
         self.piece_key = caller.get(names.piece_key) or ""
         self.piece_counts = _parse_counts(caller.get(names.pieces), len(route.stages))
         self.inputs: tuple[str, ...] = ()
-        # The data centre where the results of the stages will be read, as far as it is known.
+        # Data centre where the results of the stages will be read, if it is known.
         self.stages_data_centre = ""
-        # Where it was placed on an engine; empty for this gateway.
+        # Address of the gateway that placed the request on an engine; empty for this gateway.
         self.placer_address = ""
-        # Whether a cell that is busy should say so at once, because another may be asked.
+        # Whether a busy cell should refuse at once, because another cell can be tried.
         self.refuse_at_once = False
         self.input_bytes = sum(
             self.piece_counts[index] * route.stages[index].result_bytes
             for index in route.final_stages()
         )
-        # Ends it when its time is over; set while it runs.
+        # Timeout of the request; set while it runs.
         self.time_limit: asyncio.Timeout | None = None
-        # What became of it.
+        # Progress and outcome.
         self.attempts = 0
         self.tried: set[str] = set()
         self.may_have_run = False
@@ -102,44 +103,47 @@
 
     @property
     def priority(self) -> int:
-        """Return the rank of the request, 0 first: the customer's goes before the route's."""
+        """Return the priority, 0 is highest; the customer's overrides the route's."""
         if self.customer is not None and self.customer.priority is not None:
             return self.customer.priority
         return self.route.priority
 
     @property
     def may_go_elsewhere(self) -> bool:
-        """Return whether another target may be asked in place of the one that has it now."""
+        """Return whether the request may be retried at another target."""
         left = self.route.max_attempts - self.attempts
         return self.route.is_safe_to_retry and left > 0 and not self.guarded.trial
 
     @property
     def mark(self) -> str:
-        """Return what is the same when the caller tries again, as far as it can be told."""
+        """Return a key that a caller's retry of the same request most likely shares."""
         own = self.prompt.parts[-1].name if self.prompt.parts else ""
         return f"{self.route.name} {own} {self.prompt.tokens} {self.piece_counts}"
 
     @property
     def has_heavy_results(self) -> bool:
-        """Return whether a stage makes so much that it should not cross data centres."""
-        made = zip(self.route.stages, self.piece_counts, strict=True)
-        return any(count * stage.result_bytes > _HEAVY_BYTES for stage, count in made)
+        """Return whether the results of a stage are too large to move between data centres."""
+        stages = zip(self.route.stages, self.piece_counts, strict=True)
+        return any(count * stage.result_bytes > _LARGE_RESULT_BYTES for stage, count in stages)
 
     def stage_seconds_left(self) -> float:
-        """Return how long the stages may still take to be of use.
+        """Return the seconds that the stages may still take before their results are useless.
 
-        Past some multiple of the aim callers give a stream up that has not begun.
+        Callers give up a stream that has not started after a multiple of the route's aim.
         """
-        patience = max(_MIN_PATIENCE, self.route.aim * _PATIENCE_AIMS) * _PATIENCE_PART
-        given_up = self.started + patience - clock.monotonic() - self.prompt.seconds()
-        return min(self.remaining(), given_up) if self.route.aim else self.remaining()
+        patience = (
+            max(_MIN_PATIENCE_SECONDS, self.route.aim * _PATIENCE_AIM_RATIO)
+            * _STAGES_PATIENCE_RATIO
+        )
+        patience_left = self.started + patience - clock.monotonic() - self.prompt.seconds()
+        return min(self.remaining(), patience_left) if self.route.aim else self.remaining()
 
     def remaining(self) -> float:
-        """Return the seconds left until the final answer must be on its way."""
-        return self.deadline - ANSWER_MARGIN - clock.monotonic()
+        """Return the seconds left until the final response must be sent."""
+        return self.deadline - _RESPONSE_MARGIN_SECONDS - clock.monotonic()
 
     def wire(self, view, last_event_id: str | None) -> bytes:
-        """Return the bytes to send to one target now."""
+        """Return the encoded request for one target, with the deadline that is left now."""
         names = self.names
         left = max(1, int((self.deadline - clock.monotonic()) * 1000))
         extra = {names.deadline_ms: str(left), names.expected_incarnation: view.identity}
@@ -151,15 +155,15 @@
             extra["Last-Event-Id"] = last_event_id
         return self.writer.write(extra)
 
-    def end_now(self) -> bool:
-        """End the request as if its time were over; False if its answer has begun."""
+    def time_out_now(self) -> bool:
+        """Make the request time out now; return False if its response has started."""
         if self.events or self.time_limit is None:
             return False
         self.time_limit.reschedule(asyncio.get_running_loop().time())
         return True
 
-    def note_event(self, now: float) -> None:
-        """Record that an event was passed on."""
+    def record_event(self, now: float) -> None:
+        """Record that an event was forwarded to the caller."""
         self.events += 1
         if self.last_event_at is None:
             self.first_event = now - self.started
@@ -180,7 +184,7 @@
 
 
 def _parse_counts(text, stages):
-    """Return how many pieces each stage has; a stage that is not named has none."""
+    """Return the number of pieces of each stage; 0 for stages that `text` does not list."""
     words = [word.strip() for word in (text or "").split(",")] if text else []
     if any(not word.isdigit() for word in words):
         raise Refusal(400, "bad-pieces", "The numbers of pieces can't be read.")
--- a/traystall/passthrough/entry/sink.py
+++ b/traystall/passthrough/entry/sink.py
@@ -1,4 +1,4 @@
-"""The caller's side of a stream: whole events only, in order, none missing and none twice."""
+"""Write a stream to a caller: complete events in order, without gaps or duplicates."""
 
 from traystall.core import clock
 from traystall.http.request import Request
@@ -10,9 +10,9 @@
 
 
 class StreamSink:
-    """Pass events on to one caller, from one run or from several that continue it.
+    """Forward events to one caller, from one run or from several that resume each other.
 
-    The answer opens with its first event and keeps the head of its first run.
+    The response starts with the first event and has the status and headers of the first run.
     """
 
     def __init__(self, request: Request, passed: PassRequest):
@@ -20,49 +20,49 @@
         self._passed = passed
         self._splitter = events.EventSplitter()
         self._head: ResponseHead | None = None
-        # What the caller already holds; a continued run begins after it.
+        # Id of the last event sent to the caller; a resumed run starts after it.
         self.last_id: str | None = None
 
     @property
     def is_open(self) -> bool:
-        """Return whether the caller has been sent a part of the answer."""
+        """Return whether a part of the response was sent to the caller."""
         return self._request.has_begun
 
     @property
     def partial(self) -> bytes:
-        """Return what has come of an event that is not whole."""
+        """Return the received bytes of an incomplete event."""
         return self._splitter.partial
 
     def begin_part(self, head: ResponseHead) -> None:
-        """Begin to take in a run; what an earlier one broke off is forgotten."""
+        """Start to read a run; an incomplete event of an earlier run is discarded."""
         self._splitter = events.EventSplitter()
         if not self.is_open:
             self._head = head
 
     def split(self, chunk: bytes) -> list[bytes]:
-        """Return the whole events that a chunk completes, without those the caller holds."""
+        """Return the events that a chunk completes, without those the caller already has."""
         return [
             event for event in self._splitter.feed(chunk) if events.follows(event, self.last_id)
         ]
 
     async def write(self, event: bytes) -> None:
-        """Pass one event on; raise NoAnswer if one before it is missing."""
+        """Forward one event; raise NoAnswer if an event before it is missing."""
         if self.is_open and not events.is_next(event, self.last_id):
             raise NoAnswer("An event is missing.", sent=True)
         self._open()
         await self._request.write(event)
         self.last_id = events.event_id(event) or self.last_id
-        self._passed.note_event(clock.monotonic())
+        self._passed.record_event(clock.monotonic())
 
     async def finish(self) -> None:
-        """End a whole stream."""
+        """End a complete stream."""
         self._open()
         if self.partial:
             await self._request.write(self.partial)
         self._request.end()
 
     def abort(self) -> None:
-        """Break the connection off: what was sent must not be taken for whole."""
+        """Abort the connection, so that the caller can tell the response is incomplete."""
         self._request.abort()
 
     def _open(self):
