--- a/tests/gateway/test_breakages.py
+++ b/tests/gateway/test_breakages.py
@@ -26,7 +26,7 @@
 
 def attempt_ids_unchecked(patch):
     """An answer is taken whichever attempt it belongs to."""
-    patch.setattr(http, "_require_own", lambda response, call: None)
+    patch.setattr(http, "_require_same_attempt", lambda response, call: None)
 
 
 def token_positions_unchecked(patch):
@@ -41,7 +41,7 @@
             call.on_token(len(call.tokens) - 1, choice["text"])
         return choice["finish_reason"]
 
-    patch.setattr(kinds, "_take_chunk", take)
+    patch.setattr(kinds, "_read_event", take)
 
 
 def cut_stream_is_whole(patch):
@@ -64,8 +64,8 @@
 
 def leaving_ignored(patch):
     """A target that says it is leaving goes on getting work."""
-    patch.setattr("traystall.gateway.stages.note_presence", lambda target, report: None)
-    patch.setattr("traystall.gateway.learning.note_presence", lambda target, report: None)
+    patch.setattr("traystall.gateway.stages.apply_presence", lambda target, report: None)
+    patch.setattr("traystall.gateway.learning.apply_presence", lambda target, report: None)
 
 
 def claim_not_asked(patch):
@@ -79,7 +79,7 @@
 
 def claim_in_doubt_is_won(patch):
     """A claim whose answer is lost counts as won."""
-    original = RequestRunner._ask_for_claim
+    original = RequestRunner._request_claim
 
     async def ask(self, row, stage):
         try:
@@ -90,7 +90,7 @@
                 return None
             raise
 
-    patch.setattr(RequestRunner, "_ask_for_claim", ask)
+    patch.setattr(RequestRunner, "_request_claim", ask)
 
 
 def doubtful_claim_is_released(patch):
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -44,7 +44,7 @@
     follower = ConfigurationFollower(Links(answers), list(answers), [], GatewayRecord)
     began = clock.monotonic()
     async with asyncio.timeout(5):
-        await follower.take_highest()
+        await follower.fetch_newest()
     return follower.held.number, clock.monotonic() - began
 
 
--- a/tests/gateway/test_directory.py
+++ b/tests/gateway/test_directory.py
@@ -114,7 +114,7 @@
     second.table.put(row("b"))
     first.table.put(row("c"))
     assert first.table.version == second.table.version
-    followed.turn()
+    followed.switch_source()
     assert len(watch(followed, second, 0.0).directory) == 2
     assert watch(followed, second, 0.0).directory is None
     assert essentials(followed.rows) == essentials(second.table.live(0.0))
@@ -124,7 +124,7 @@
     control, followed = Control(), FollowedDirectory()
     control.table.put(row("a"))
     watch(followed, control, 0.0)
-    followed.turn()
+    followed.switch_source()
     control.table.put(row("b"))
     assert watch(followed, control, 0.0).directory is None
     assert essentials(followed.rows) == essentials(control.table.live(0.0))
@@ -225,7 +225,7 @@
 
     def _turn(self):
         self.position += 1
-        self.followed.turn()
+        self.followed.switch_source()
 
     def _forget_nothing_and_ask_without(self):
         before = list(self.followed.rows)
@@ -267,13 +267,13 @@
     watch(followed, control, 0.0)
     old.table.put(row("b"))
     assert old.table.version == control.table.version
-    followed.turn()
+    followed.switch_source()
     watch(followed, old, 0.0)
     assert essentials(followed.rows) == essentials(old.table.live(0.0))
     assert watch(followed, old, 0.0).directory is None
     old.table.put(row("c"))
     assert len(watch(followed, old, 0.0).directory) == 2
-    followed.turn()
+    followed.switch_source()
     control.table.put(row("d"))
     assert len(watch(followed, control, 0.0).directory) == 2
     assert essentials(followed.rows) == essentials(control.table.live(0.0))
@@ -314,7 +314,7 @@
     control.table.put(row("a"))
     link = _Link(control)
     follower = ConfigurationFollower(link, [], [], GatewayRecord)
-    asyncio.run(follower.take_from("any"))
+    asyncio.run(follower.fetch_from("any"))
     assert link.request.without_directory
     assert follower.directory == []
     assert watch(follower._directory, control, 0.0).directory is not None
--- a/tests/gateway/test_targets_at_rest.py
+++ b/tests/gateway/test_targets_at_rest.py
@@ -10,8 +10,8 @@
 from tests.support.raw_target import RawTarget
 from traystall.core import clock, metrics
 from traystall.core.logs import DECISION_LOGGER
-from traystall.gateway.lookups import LookUps
-from traystall.gateway.news import note_asked
+from traystall.gateway.lookups import ResultLookup
+from traystall.gateway.target_notices import apply_backoff
 from traystall.systems.membership import PresenceReport, on_report
 from traystall.tables.availability import MAX_IN_FLIGHT_AFTER_BACKOFF
 from traystall.tables.targets import TargetRow
@@ -179,7 +179,7 @@
 def test_limit_on_how_often_it_is_asked_is_kept_as_a_rest():
     async def story(bench, targets):
         row = row_of(bench, 0)
-        note_asked(row, 429, CIMultiDict({"Retry-After": "31"}))
+        apply_backoff(row, 429, CIMultiDict({"Retry-After": "31"}))
         assert row.availability.is_backing_off(clock.monotonic() + 30.5)
 
     play(story, service_stage())
@@ -210,7 +210,7 @@
         row = row_of(bench, 0)
         row.availability.request_backoff(0.05, "", clock.monotonic())
         await asyncio.sleep(0.1)
-        note_asked(row, 200, {})
+        apply_backoff(row, 200, {})
         assert row.availability.is_recovering
         assert (await bench.ask("mark"))[0] == 200
         assert not row.availability.is_recovering
@@ -231,7 +231,7 @@
 
         bench.context.http.get_json = counted
         target = row_of(bench, 0).target
-        assert await LookUps(bench.context)._ask(target, "k") is None
+        assert await ResultLookup(bench.context)._ask(target, "k") is None
         assert looked == []
 
     play(story, service_stage(), lookup="/lookup")
--- a/tests/gateway/test_transfer.py
+++ b/tests/gateway/test_transfer.py
@@ -83,7 +83,7 @@
 
 @pytest.fixture(autouse=True)
 def short_pauses(monkeypatch):
-    monkeypatch.setattr(transfer, "_FAILURE_PAUSE", 0.0)
+    monkeypatch.setattr(transfer, "_FAILURE_PAUSE_SECONDS", 0.0)
 
 
 @pytest.mark.parametrize("fault", ["late", "broken", "unknown", "empty"])
--- a/tests/gateway/test_transfer_liveness.py
+++ b/tests/gateway/test_transfer_liveness.py
@@ -54,7 +54,7 @@
         began = asyncio.get_running_loop().time()
         while not follower.held.number:
             if len(running) < 2:
-                task = asyncio.create_task(follower.take_from("b"))
+                task = asyncio.create_task(follower.fetch_from("b"))
                 running.add(task)
                 task.add_done_callback(running.discard)
             await asyncio.sleep(0.1)
--- a/traystall/gateway/__init__.py
+++ b/traystall/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway daemon: accepts callers and runs the stages of their requests."""
+"""The gateway daemon: accepts callers' requests and runs their stages."""
--- a/traystall/gateway/adapters/__init__.py
+++ b/traystall/gateway/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""Outside protocols of targets, one module a kind, each behind the same typed call."""
+"""Protocols of the kinds of targets, behind one typed call."""
--- a/traystall/gateway/adapters/http.py
+++ b/traystall/gateway/adapters/http.py
@@ -1,8 +1,8 @@
-"""Make one HTTP exchange with a target and say truthfully what became of it.
+"""Make HTTP requests to targets and classify the outcome: result, not run, failed or unknown.
 
-Work is only ever sent with POST, which the client library never resends by
-itself. Not-repeatable work goes over a fresh connection, so that a kept one
-which the target has just closed can't put it in doubt.
+Work is always sent with POST, which the client library never retries by itself. Work that is not
+repeatable uses a new connection: on a reused one that the target has just closed its outcome
+would be unknown.
 """
 
 import asyncio
@@ -35,22 +35,22 @@
 
 
 class TargetHttp:
-    """Hold the connections to targets; use it as an async context manager."""
+    """HTTP client for targets, with and without connection reuse; call `open` and `close`."""
 
     def __init__(self):
-        self._kept: aiohttp.ClientSession | None = None
-        self._fresh: aiohttp.ClientSession | None = None
+        self._pooled: aiohttp.ClientSession | None = None
+        self._unpooled: aiohttp.ClientSession | None = None
 
     async def open(self) -> None:
         """Open the connection pools."""
         trace = aiohttp.TraceConfig()
-        trace.on_request_headers_sent.append(_mark_sending)
-        self._kept = _session(trace, force_close=False)
-        self._fresh = _session(trace, force_close=True)
+        trace.on_request_headers_sent.append(_on_headers_sent)
+        self._pooled = _session(trace, force_close=False)
+        self._unpooled = _session(trace, force_close=True)
 
     async def close(self) -> None:
         """Close every connection."""
-        for session in (self._kept, self._fresh):
+        for session in (self._pooled, self._unpooled):
             if session is not None:
                 await session.close()
 
@@ -61,13 +61,13 @@
         headers: dict | None = None,
         on_head: Callable[[int, Mapping], None] = lambda status, headers: None,
     ) -> dict:
-        """Return a small JSON document; raise TargetFailed if there is none.
+        """Return a small JSON object; raise TargetFailed if there is none.
 
-        `on_head` is called with status and headers of any answer.
+        `on_head` is called with the status and headers of any response.
         """
         timeout = aiohttp.ClientTimeout(total=seconds)
         try:
-            async with self._fresh.get(url, timeout=timeout, headers=headers) as response:
+            async with self._unpooled.get(url, timeout=timeout, headers=headers) as response:
                 on_head(response.status, response.headers)
                 if response.status != 200:
                     raise TargetFailed(response.status, url)
@@ -81,7 +81,7 @@
     @asynccontextmanager
     async def post(self, call: Call, path: str, document: dict):
         """Yield the target's 200 response; raise a TargetError for anything else."""
-        session = self._kept if call.repeatable else self._fresh
+        session = self._pooled if call.repeatable else self._unpooled
         headers = {
             ATTEMPT_HEADER: call.attempt_id,
             PRIORITY_HEADER: str(PRIORITY_LEVEL[call.priority]),
@@ -107,7 +107,7 @@
 
 
 class _Progress:
-    """Remember whether a byte of the attempt may have left."""
+    """Record whether a byte of the attempt may have been sent."""
 
     def __init__(self, call):
         self.call = call
@@ -119,7 +119,7 @@
             self.sending = True
 
 
-async def _mark_sending(session, context, params):
+async def _on_headers_sent(session, context, params):
     progress = context.trace_request_ctx
     if progress is not None:
         progress.mark()
@@ -132,18 +132,18 @@
 
 async def _require_success(response, call):
     if response.status == 200:
-        _require_own(response, call)
+        _require_same_attempt(response, call)
         return
     leaving = response.headers.get(STATE_HEADER) == "leaving"
     if response.headers.get(RUN_HEADER) == RunState.NOT_RUN:
-        _require_own(response, call)
+        _require_same_attempt(response, call)
         response.close()
         raise TargetNotRun(f"status {response.status}", leaving, sent=True)
     response.close()
     raise TargetFailed(response.status, "no result")
 
 
-def _require_own(response, call):
+def _require_same_attempt(response, call):
     answered = response.headers.get(ATTEMPT_HEADER)
     if answered is not None and answered != call.attempt_id:
         response.close()
@@ -151,7 +151,7 @@
 
 
 async def read_json(response: aiohttp.ClientResponse, call: Call) -> dict:
-    """Return the whole JSON object of a response, checked to belong to the attempt."""
+    """Return the JSON object of a response; raise an error if it belongs to another attempt."""
     chunks = []
     size = 0
     async for chunk in response.content.iter_chunked(_READ_BYTES):
--- a/traystall/gateway/adapters/kinds.py
+++ b/traystall/gateway/adapters/kinds.py
@@ -1,8 +1,8 @@
-"""Build each kind's request and read its result.
+"""Build the request for each kind of target and read its result.
 
-Encoders, rerankers and engines speak the JSON formats that the field already
-uses (`/v1/embeddings`, `/v1/rerank`, `/v1/completions`); retrievers take
-`/v1/search`; a plain service takes the caller's body at its declared path.
+Encoders, rerankers and engines use the common JSON formats (`/v1/embeddings`, `/v1/rerank`,
+`/v1/completions`); retrievers use `/v1/search`; a plain service gets the caller's body at its
+declared path.
 """
 
 import json
@@ -16,7 +16,7 @@
 
 
 async def run(http: TargetHttp, call: Call) -> Reply:
-    """Run one attempt and return its whole result; raise a TargetError otherwise."""
+    """Run one attempt and return its complete result; raise a TargetError otherwise."""
     if call.stage.kind is Kind.ENGINE:
         return await _run_engine(http, call)
     path, document = _BUILDERS[call.stage.kind](call)
@@ -68,7 +68,7 @@
 
 
 async def _run_engine(http, call):
-    """Stream a completion; tokens go to the call as they come, so that it can be resumed."""
+    """Stream a completion; tokens are added to the call as they arrive, so it can be resumed."""
     document = {
         "model": call.stage.model,
         "prompt": call.body.get("input", ""),
@@ -89,7 +89,7 @@
 
 
 async def _read_tokens(response, call):
-    """Append tokens to the call until the stream's own end; return the finish reason."""
+    """Append tokens to the call until the end marker of the stream; return the finish reason."""
     finish = None
     async for line in _lines(response):
         if not line.startswith(b"data:"):
@@ -99,11 +99,11 @@
             if finish is None:
                 raise TargetDoubt("its stream ended without a finish reason")
             return finish
-        finish = _take_chunk(data, call) or finish
+        finish = _read_event(data, call) or finish
     raise TargetDoubt("its stream was cut")
 
 
-def _take_chunk(data, call):
+def _read_event(data, call):
     try:
         chunk = json.loads(data)
         choice = chunk["choices"][0]
@@ -114,10 +114,10 @@
     if chunk.get("id", call.attempt_id) != call.attempt_id:
         raise TargetDoubt("its stream belongs to another attempt")
     if reason is not None:
-        _require_count(chunk, call)
+        _require_token_count(chunk, call)
         return reason
     if index is not None and index < len(call.tokens):
-        return None  # A token that is already held, sent again.
+        return None  # The engine has sent a token again.
     if index is not None and index > len(call.tokens):
         raise TargetDoubt("its stream has a gap")
     call.tokens.append(text)
@@ -125,14 +125,14 @@
     return None
 
 
-def _require_count(chunk, call):
+def _require_token_count(chunk, call):
     count = chunk.get("token_count")
     if count is not None and count != len(call.tokens):
         raise TargetDoubt("its stream lost tokens")
 
 
 async def _lines(response):
-    """Yield the lines of a body, whatever the sizes of its chunks."""
+    """Yield the lines of a body, which may be split across chunks."""
     rest = b""
     async for chunk in response.content.iter_any():
         rest += chunk
--- a/traystall/gateway/allowances.py
+++ b/traystall/gateway/allowances.py
@@ -1,4 +1,8 @@
-"""Hold customers to their limits, borrowing from neighbours before a refusal."""
+"""Enforce customers' rate limits, borrowing from other gateways before a refusal.
+
+A customer's limit is divided among the gateways in its data centres. Gateways of one data centre
+lend each other tokens and permits that they do not use.
+"""
 
 from traystall.core import clock
 from traystall.core.exceptions import RpcError
@@ -13,22 +17,23 @@
 from traystall.systems.limits import Loan
 from traystall.tables.entities import Customer
 
-_ASK_SECONDS = 0.1
-# A customer that is over its limit everywhere costs one round of questions in this time.
-_ASK_AGAIN_SECONDS = 0.2
+_TIMEOUT_SECONDS = 0.1
+# Minimum time between attempts to borrow for the same customer, which may be over its limit at
+# every gateway.
+_BORROW_INTERVAL_SECONDS = 0.2
 _TOKENS_WANTED = 8.0
 _PERMITS_WANTED = 4
 
 
 class Allowances:
-    """Admit requests within the part of the limits that this gateway holds."""
+    """Admit requests within this gateway's share of the customers' limits."""
 
     def __init__(self, context: GatewayContext):
         self._context = context
-        self._asked_at: dict[str, float] = {}
+        self._last_borrow_at: dict[str, float] = {}
 
     async def admit(self, envelope: Envelope) -> None:
-        """Count the request in, or raise Refusal if the customer is over its limit."""
+        """Count the request against the limit, or raise Refusal if the customer is over it."""
         customer = envelope.customer
         seconds = envelope.deadline_seconds
         if envelope.key and not envelope.pipeline.repeatable:
@@ -41,7 +46,7 @@
             raise Refusal(problems.OVER_LIMIT, verdict.why, after)
 
     def grant(self, name: str, wanted: Loan) -> Loan:
-        """Return what a neighbour may have of a customer's part here."""
+        """Return what this gateway lends another one from its share of a customer's limit."""
         customer = self._context.tables.customer(name)
         if customer is None:
             return Loan()
@@ -61,12 +66,12 @@
         return index, limits.count_gateways(customer, places)
 
     async def _borrow(self, customer) -> bool:
-        """Ask the neighbours in turn; return whether one of them had something."""
+        """Ask the other gateways one by one; return whether one of them lent anything."""
         now = clock.monotonic()
-        if now - self._asked_at.get(customer.name, float("-inf")) < _ASK_AGAIN_SECONDS:
+        if now - self._last_borrow_at.get(customer.name, float("-inf")) < _BORROW_INTERVAL_SECONDS:
             return False
-        self._asked_at[customer.name] = now
-        for neighbour in self._neighbours():
+        self._last_borrow_at[customer.name] = now
+        for neighbour in self._local_peers():
             loan, asked_at = await self._ask(neighbour, customer)
             if loan.tokens or loan.permits:
                 self._context.limiter.borrow(customer.name, loan, asked_at)
@@ -80,7 +85,7 @@
                 return True
         return False
 
-    def _neighbours(self):
+    def _local_peers(self):
         context = self._context
         found = [
             row
@@ -97,7 +102,7 @@
         )
         try:
             link = self._context.links.link(neighbour.rpc_address)
-            reply = await link.call(request, _ASK_SECONDS)
+            reply = await link.call(request, _TIMEOUT_SECONDS)
         except RpcError:
             return Loan(), asked_at
         return Loan(reply.tokens, reply.permits, reply.seconds), asked_at
--- a/traystall/gateway/answers.py
+++ b/traystall/gateway/answers.py
@@ -1,4 +1,4 @@
-"""Write answers to callers: JSON, problem+json, or server-sent events with a final event."""
+"""Write responses to callers: JSON, problem+json, or server-sent events with a final event."""
 
 import asyncio
 import contextlib
@@ -12,12 +12,12 @@
 
 EVENT_STREAM = "text/event-stream"
 PROBLEM_JSON = "application/problem+json"
-# A stream whose caller reads this many bytes too slowly is ended.
+# A stream with more unread bytes than this is aborted: its caller reads too slowly.
 MAX_UNREAD_BYTES = 4 * 1024 * 1024
 
 
 def whole_document(row: RequestRow, result: dict) -> dict:
-    """Return the answer document: result, where each stage ran, and what it cost."""
+    """Return the response document: the result, and where each stage ran and its cost."""
     return {
         "request": row.request_id,
         "status": "complete",
@@ -27,7 +27,7 @@
 
 
 def stage_documents(row: RequestRow) -> list[dict]:
-    """Return where each stage of a request ran and what it cost; no payload."""
+    """Return where each stage of a request ran and its cost, without payload."""
     return [
         {
             "stage": record.stage,
@@ -57,7 +57,7 @@
 
 
 def problem_response(refusal: Refusal, run: RunState, request_id: str = "") -> web.Response:
-    """Return a refusal as a response with Retry-After."""
+    """Return the response for a refusal, with a Retry-After header."""
     return web.Response(
         status=refusal.problem.status,
         text=json.dumps(problem_document(refusal, run, request_id)),
@@ -67,12 +67,12 @@
 
 
 def wants_stream(request: web.Request) -> bool:
-    """Return whether the caller asked for server-sent events."""
+    """Return whether the caller accepts server-sent events."""
     return EVENT_STREAM in request.headers.get("Accept", "")
 
 
 class EventStream:
-    """Write tokens as events; the answer is whole only with its final event."""
+    """Write tokens as events; a response without its final event is incomplete."""
 
     def __init__(self, request: web.Request):
         self._request = request
@@ -83,7 +83,7 @@
         self._digest = hashlib.sha256()
         self._unsent = bytearray()
         self._has_unsent = asyncio.Event()
-        self._pump: asyncio.Task | None = None
+        self._writer: asyncio.Task | None = None
         self._broken = False
 
     @property
@@ -92,13 +92,13 @@
         return self._response
 
     async def open(self) -> None:
-        """Send the response's headers and begin to pass on what is written."""
+        """Send the headers and start to send events in the background."""
         self._response.enable_chunked_encoding()
         await self._response.prepare(self._request)
-        self._pump = asyncio.create_task(self._pump_forever())
+        self._writer = asyncio.create_task(self._write_forever())
 
     def on_token(self, index: int, text: str) -> None:
-        """Write one token, in order and once, without waiting for the caller to read it."""
+        """Write the next token without waiting for the caller to read it; skip repeated ones."""
         if index != self._count:
             return
         self._count += 1
@@ -106,20 +106,20 @@
         self._write("token", {"index": index, "text": text})
 
     async def finish(self, answer: dict) -> None:
-        """Write the final event of a whole answer."""
+        """Write the final event of a complete response."""
         final = {"count": self._count, "digest": self._digest.hexdigest(), **answer}
         await self._end(final)
 
     async def fail(self, refusal: Refusal, run: RunState, request_id: str) -> None:
-        """Write the final event of an answer that is not whole."""
+        """Write the final event of a response that failed."""
         document = problem_document(refusal, run, request_id)
         document["retry_after"] = refusal.retry_after
         await self._end({"status": "failed", "problem": document})
 
     def abandon(self) -> None:
-        """Stop writing; the caller is gone."""
-        if self._pump is not None:
-            self._pump.cancel()
+        """Stop sending."""
+        if self._writer is not None:
+            self._writer.cancel()
 
     async def _end(self, document):
         self.abandon()
@@ -137,7 +137,7 @@
             self._break()
         self._has_unsent.set()
 
-    async def _pump_forever(self):
+    async def _write_forever(self):
         try:
             while True:
                 await self._has_unsent.wait()
@@ -148,7 +148,7 @@
             self._broken = True
 
     def _break(self):
-        """Cut a stream whose caller reads too slowly: it must not be taken for whole."""
+        """Abort the connection of a slow caller, which can tell the response is incomplete."""
         self._broken = True
         self._unsent.clear()
         if self._request.transport is not None:
--- a/traystall/gateway/configuration.py
+++ b/traystall/gateway/configuration.py
@@ -1,4 +1,4 @@
-"""Follow the configuration: watch a control daemon, take deltas, never step back."""
+"""Follow the configuration: watch a control daemon and apply deltas, only ever forward."""
 
 import asyncio
 import logging
@@ -25,20 +25,20 @@
 from traystall.tables.configuration import ConfigurationTables
 from traystall.tables.gateways import GatewayRow
 
-_WATCH_TIMEOUT = 1.6
-_FIRST_TIMEOUT = 1.5
+_WATCH_TIMEOUT_SECONDS = 1.6
+_FIRST_TIMEOUT_SECONDS = 1.5
 _RETRY_SECONDS = 0.2
-# A gateway that has forgotten its base asks so often, in seconds: as often as a quiet watch ends.
-_NO_BASE_SECONDS = 1.0
-# Changes up to this size come with the reply, in bytes; larger ones are fetched in chunks.
-# Alone on 5 Mbit/s it takes 26 ms, so that even all control daemons at once stay in time.
+# Poll interval of a gateway that has dropped its base: as often as an idle watch returns.
+_LOST_BASE_RETRY_SECONDS = 1.0
+# Changes up to this size are part of the reply; larger ones are fetched in chunks. On an idle link
+# of 5 Mbit/s this takes 26 ms, so that even replies of all control daemons at once arrive in time.
 _INLINE_BYTES = 16 * 1024
 
 logger = logging.getLogger(__name__)
 
 
 class HeldRevision:
-    """Hold the revision in force here; `take` moves it forward only."""
+    """The revision in force here; `take` never replaces it with an older one."""
 
     def __init__(self):
         self.entities: dict[str, bytes] = {}
@@ -51,8 +51,8 @@
         return self.tables.number
 
     def take(self, reply: WatchReply) -> bool:
-        """Take in a reply; return whether the revision moved. Raise DeltaMismatch if unusable."""
-        if (reply.number or 0) <= self.number or self.is_crossed(reply):
+        """Apply a reply; return whether the revision changed. Raise DeltaMismatch if unusable."""
+        if (reply.number or 0) <= self.number or self.is_outdated(reply):
             return False
         delta = self._delta_of(reply)
         entities = apply_delta(self.entities, self.digest, delta)
@@ -61,13 +61,13 @@
         self.digest = delta.result
         return True
 
-    def is_crossed(self, reply):
-        """Return whether a delta was made for what was held before another reply was taken.
+    def is_outdated(self, reply):
+        """Return whether a delta is based on a revision that another reply has replaced since.
 
-        Several control daemons are asked at once. What is held stays good, and the next watch
-        gets what is missing. To forget it would ask for a full copy: after a restart of the
-        control daemons 87 gateways did so seven times each, which filled links of 5 Mbit/s for a
-        second and cut their batchers off.
+        This happens because several control daemons are asked at once. The revision stays valid,
+        and the next watch returns what is missing. Dropping it instead would request a full copy:
+        after a restart of the control daemons, 87 gateways did so seven times each, which filled
+        links of 5 Mbit/s for a second and cut off their batchers.
         """
         return not reply.full and (reply.base or b"") != self.digest
 
@@ -81,10 +81,10 @@
 
 
 class ConfigurationFollower:
-    """Keep a HeldRevision, the evacuations and the gateway directory up to date.
+    """Keep the configuration, evacuations, suspects and the gateway directory up to date.
 
-    Routes, evacuations and suspects come in one reply, so a gateway that starts never has
-    routes without knowing which data centres are evacuated, and which requests it must not send.
+    Routes, evacuations and suspects arrive in one reply. A starting gateway therefore never has
+    routes without knowing which data centres are evacuated and which requests are quarantined.
     """
 
     def __init__(
@@ -103,72 +103,72 @@
         self._neighbours = neighbours
         self._describe = describe
         self._directory = FollowedDirectory()
-        # Who answered first at the start: watched first, because it is surely there.
-        self._answered = ""
+        # The control daemon that replied first at the start; watched first, as it is reachable.
+        self._first_responder = ""
         self._fetcher = CopyFetcher(links, describe)
         self._copies = CopySource(lambda base: full_copy(self.held.entities, self.held.digest))
 
     @property
     def directory(self) -> list[GatewayRow]:
-        """Return the gateways as they were last told of."""
+        """Return the last known gateways."""
         return self._directory.rows
 
     @property
     def newest_revision(self) -> int:
-        """Return the number of the revision that is held or being fetched."""
+        """Return the number of the newest revision that is in force or being fetched."""
         return max(self.held.number, self._fetcher.number)
 
-    async def take_highest(self) -> None:
-        """Take the highest revision among all that can be reached; done once at the start.
+    async def fetch_newest(self) -> None:
+        """Fetch the newest revision among all reachable sources; called once at the start.
 
-        A control daemon that follows a working leader is at most a heartbeat behind: once one
-        has answered nobody else is waited for, least of all those that are lost.
+        A control daemon that follows a working leader is at most one heartbeat behind. Once one
+        has replied, the other sources are not awaited, since some may be unreachable.
         """
         sources = [*self._controls, *self._neighbours]
-        asked = [asyncio.create_task(self._ask_for_revision(address)) for address in sources]
+        tasks = [asyncio.create_task(self._ask_for_revision(address)) for address in sources]
         usable = []
         try:
-            for answered in asyncio.as_completed(asked):
-                address, reply = await answered
+            for completed in asyncio.as_completed(tasks):
+                address, reply = await completed
                 if reply is not None and reply.number:
                     usable.append((address, reply))
                     if reply.fresh:
-                        self._answered = address
+                        self._first_responder = address
                         break
         finally:
-            for task in asked:
+            for task in tasks:
                 task.cancel()
         for address, reply in sorted(usable, key=lambda pair: pair[1].number, reverse=True):
             if await self._take_from(address, reply):
                 return
 
     async def follow_forever(self) -> None:
-        """Watch the first fresh control daemon, the nearest first; fall back in turn."""
+        """Watch the nearest up-to-date control daemon; try the others in order if it fails."""
         position = 0
         while True:
-            address = self._answered or self._controls[position % len(self._controls)]
-            self._answered = ""
+            address = self._first_responder or self._controls[position % len(self._controls)]
+            self._first_responder = ""
             before = self.held.number
-            reply = await self._ask(address, _WATCH_TIMEOUT)
+            reply = await self._ask(address, _WATCH_TIMEOUT_SECONDS)
             if reply is not None:
                 await self._take_from(address, reply)
-            if reply is None or not reply.fresh or self._is_stuck(before, reply):
+            if reply is None or not reply.fresh or self._made_no_progress(before, reply):
                 position += 1
-                self._directory.turn()
+                self._directory.switch_source()
                 await asyncio.sleep(_RETRY_SECONDS)
-            elif self._lacks_base(reply):
-                await asyncio.sleep(_NO_BASE_SECONDS)
+            elif self._lost_base(reply):
+                await asyncio.sleep(_LOST_BASE_RETRY_SECONDS)
 
-    async def take_from(self, address: str) -> None:
-        """Take the revision of one control daemon that is known to have a newer one."""
+    async def fetch_from(self, address: str) -> None:
+        """Fetch the revision of a control daemon that has announced a newer one."""
         _, reply = await self._ask_for_revision(address)
         if reply is not None:
             await self._take_from(address, reply)
 
     def answer_watch(self, request: WatchRequest) -> WatchReply:
-        """Return this gateway's revision to a neighbour that starts."""
+        """Return this gateway's revision to another gateway that starts."""
         reply = WatchReply(
-            # Forgotten entities are no revision that another gateway could take.
+            # Without its entities a revision can't be served to another gateway.
             number=self.held.number if self.held.entities else 0,
             digest=self.held.digest,
             full=True,
@@ -185,28 +185,29 @@
         return reply
 
     def answer_transfer(self, request: TransferRequest) -> TransferReply:
-        """Return a chunk of this gateway's revision to a neighbour that starts."""
+        """Return a chunk of this gateway's revision to another gateway that starts."""
         return self._copies.chunk(request)
 
-    def _is_stuck(self, before, reply):
-        """Return whether a reply told of a newer revision and nothing newer is held since."""
+    def _made_no_progress(self, before, reply):
+        """Return whether a reply announced a newer revision, but none has come into force."""
         return self.held.number == before and (reply.number or 0) > before
 
-    def _lacks_base(self, reply):
-        """Return whether the revision held is in force, but its entities were forgotten.
+    def _lost_base(self, reply):
+        """Return whether the newest revision is in force, but its entities were dropped.
 
-        Only a higher one brings them back; a watch is answered at once until then.
+        Only a newer revision restores them. Until then a watch returns immediately.
         """
         return reply.number == self.held.number and self.held.digest != reply.digest
 
     async def _ask_for_revision(self, address):
-        """Ask for the revision alone; return the address with the reply.
+        """Request the revision without the directory; return the address with the reply.
 
-        Only who is watched sends the directory: one of 195 gateways is 25 KB from each daemon.
+        Only the watched control daemon sends the directory: for 195 gateways it has 25 KB, which
+        every daemon would send.
         """
-        reply = await self._ask(address, _FIRST_TIMEOUT, with_directory=False)
+        reply = await self._ask(address, _FIRST_TIMEOUT_SECONDS, with_directory=False)
         if reply is not None:
-            # A daemon that can't be asked without sends it; its versions are not those followed.
+            # Old daemons always send the directory; its versions differ from the watched daemon's.
             reply.directory = None
         return address, reply
 
@@ -225,11 +226,11 @@
             return None
 
     async def _take_from(self, address, reply) -> bool:
-        """Take in a reply, and fetch what it only offers; return whether the revision moved."""
+        """Apply a reply, and fetch a revision that it offers; return whether it changed here."""
         if reply.offer is None:
             return self._take(reply)
-        self._take_beside(reply)
-        if reply.number <= self.held.number or self.held.is_crossed(reply):
+        self._apply_metadata(reply)
+        if reply.number <= self.held.number or self.held.is_outdated(reply):
             return False
         copy = await self._fetcher.fetch(address, reply)
         if copy is None:
@@ -238,33 +239,33 @@
         return self._take_revision(reply)
 
     def _take(self, reply) -> bool:
-        self._take_beside(reply)
+        self._apply_metadata(reply)
         if (reply.number or 0) < self._fetcher.number:
-            # A daemon that lags behind: to move the base would void what is being fetched.
+            # A lagging daemon. Applying its delta would change the base of the running transfer.
             return False
         return self._take_revision(reply)
 
-    def _take_beside(self, reply):
-        """Take in what a reply tells besides the revision."""
-        directory_moved = self._directory.take(reply, clock.monotonic())
+    def _apply_metadata(self, reply):
+        """Apply the directory, suspects and evacuations of a reply."""
+        has_directory_changed = self._directory.take(reply, clock.monotonic())
         self.suspects.take(reply.suspects)
-        if self.evacuations.take(reply.evacuated) or directory_moved:
+        if self.evacuations.take(reply.evacuated) or has_directory_changed:
             self._notify()
 
     def _take_revision(self, reply) -> bool:
         try:
-            moved = self.held.take(reply)
+            has_changed = self.held.take(reply)
         except DeltaMismatch as error:
-            # Forget the base: the next watch then gets a full copy.
+            # Drop the base, so that the next watch returns a full copy.
             logger.warning("delta refused", extra={"why": str(error)})
             self.held.digest = EMPTY_DIGEST
             self.held.entities = {}
             return False
-        if moved:
+        if has_changed:
             metrics.configuration_number.set({}, self.held.number)
             decision("configuration", number=self.held.number, full=bool(reply.full))
             self._notify()
-        return moved
+        return has_changed
 
     def _notify(self):
         for callback in self.on_change:
--- a/traystall/gateway/daemon.py
+++ b/traystall/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""The `traystall-gateway` program: callers on one side, targets on the other."""
+"""The `traystall-gateway` program: a gateway that runs pipelines of stages at targets."""
 
 import asyncio
 import logging
@@ -30,15 +30,15 @@
 
 ROLE = "gateway"
 _MAX_HEADER_BYTES = 16 * 1024
-# A control daemon that leaves a report of ended targets unanswered for so long, in seconds, is left
-# for another: a commit takes some round trips and a sync.
-_LEADER_SECONDS = 0.5
+# Timeout of a report of ended targets; the next control daemon is tried after it. A commit takes
+# several round trips and a disk sync.
+_LEADER_TIMEOUT_SECONDS = 0.5
 
 logger = logging.getLogger(__name__)
 
 
 class GatewayDaemon(aiomisc.Service):
-    """Wire the parts of a gateway together."""
+    """Create, start and stop the components of a gateway."""
 
     def __init__(self, settings: Settings):
         super().__init__()
@@ -47,7 +47,7 @@
         self._state = "serving"
 
     async def start(self) -> None:
-        """Take the newest configuration within reach and begin to serve."""
+        """Fetch the newest reachable configuration and start to serve."""
         settings = self._settings
         self._links = LinkPool(
             LinkIdentity(settings.cluster, ROLE, self._identity, settings.secret)
@@ -57,7 +57,9 @@
         )
         ledger = LedgerClient(self._links, settings.control)
         key = make_key(settings.cluster, settings.secret)
-        guard = RequestGuard(key, LeaderLink(self._links, settings.control, _LEADER_SECONDS))
+        guard = RequestGuard(
+            key, LeaderLink(self._links, settings.control, _LEADER_TIMEOUT_SECONDS)
+        )
         self._follower.suspects = guard.held
         self._context = GatewayContext(
             settings, self._identity, self._links, self._follower, ledger, guard
@@ -70,25 +72,25 @@
             settings.rpc_listen, settings.cluster, settings.secret, service.handle
         )
         await self._server.start()
-        await self._follower.take_highest()
+        await self._follower.fetch_newest()
         await self._start_http()
         self._background = daemon.Background()
         self._background.start(self._follower.follow_forever())
         self._background.start(guard.reports.send_forever())
         self._background.start(PresenceWatcher(self._context).watch_forever())
         context = self._context
-        teller = LimitBroadcaster(
+        broadcaster = LimitBroadcaster(
             context.permits,
             self._links,
             lambda: self._follower.directory,
             context.data_centre_of,
             context.lives,
         )
-        self._background.start(teller.run_forever())
+        self._background.start(broadcaster.run_forever())
         logger.info("started", extra={"identity": self._identity})
 
     async def until_stopped(self, stopping: asyncio.Event) -> None:
-        """Wait for a signal, then drain: nothing in flight is cut."""
+        """Wait for a stop signal, then drain the requests in flight."""
         await daemon.first_of(stopping, self._background.failed)
         logger.info("draining", extra={"in_flight": self._front.in_flight})
         self._state = "draining"
@@ -128,7 +130,7 @@
         )
 
     def _leaving(self):
-        """Return the leaving targets of this data centre, which others do not ask themselves."""
+        """Return the leaving targets of this data centre; other data centres don't probe them."""
         context = getattr(self, "_context", None)
         if context is None:
             return []
--- a/traystall/gateway/directory.py
+++ b/traystall/gateway/directory.py
@@ -1,7 +1,7 @@
-"""The directory of gateways as a control daemon tells it: the whole once, then what changes.
+"""The directory of gateways, received from a control daemon: a full copy first, then changes.
 
-One directory is held, with the life of the control daemon that told it. Whatever doesn't fit what
-is held makes the whole be asked for, so that no gateway stays listed that is long gone.
+The directory is kept with the epoch (the incarnation) of the control daemon that sent it. Changes
+that don't apply to it cause a request for a full copy, so that stopped gateways don't stay listed.
 """
 
 import logging
@@ -14,17 +14,18 @@
 
 
 class FollowedDirectory:
-    """Hold `rows` in the order of their names; those not told anew stay as they were told."""
+    """The rows of the known gateways, sorted by identity; rows without changes are kept."""
 
     def __init__(self):
         self.rows: list[GatewayRow] = []
         self._forget_base()
 
     def describe_base(self, request: WatchRequest, with_directory: bool = True) -> None:
-        """Put into a request what is known, so that only the rest is told, or nothing at all.
+        """Add the known version to a request, so that the reply has only the changes since.
 
-        A daemon that names no life knows only `directory_version`. It is never given a number
-        that another daemon counted, which might be the same as its own by chance.
+        Without `with_directory` the reply has no directory at all. Old daemons send no epoch and
+        know only `directory_version`. They never get the version of a daemon with an epoch, which
+        could equal their own by chance.
         """
         request.directory_version = 0 if self._epoch else self._version
         if self._epoch:
@@ -33,34 +34,35 @@
         if not with_directory:
             request.without_directory = True
 
-    def turn(self) -> None:
-        """Turn to another control daemon, which by its life knows that it must tell the whole.
+    def switch_source(self) -> None:
+        """Prepare to watch another control daemon.
 
-        A base with its life is kept: a gateway whose watch timed out and that comes back to the
-        daemon it knows gets the changes, when the whole would fill its link again.
+        A version with an epoch is kept: another daemon sees the foreign epoch and sends a full
+        copy. A gateway whose watch timed out, and that returns to the same daemon, gets only the
+        changes, since a full copy would fill its link again.
         """
         if not self._epoch:
             self._forget_base()
 
     def take(self, reply: WatchReply, now: float) -> bool:
-        """Take in a reply; return whether something changed on which decisions depend."""
-        before = _essentials(self.rows)
+        """Apply a reply; return whether a field changed that decisions depend on."""
+        before = _decision_fields(self.rows)
         if reply.directory is not None and reply.directory_version:
             self._keep(reply, _rows(reply.directory, now))
         elif reply.directory_base is not None:
             self._take_changes(reply, now)
-        return before != _essentials(self.rows)
+        return before != _decision_fields(self.rows)
 
     def _take_changes(self, reply, now):
         if (reply.directory_epoch, reply.directory_base) != (self._epoch, self._version):
-            self._refuse("changes of another base")
+            self._refuse("changes are based on another version")
             return
         rows = {row.identity: row for row in self.rows}
         for identity in reply.directory_dropped or ():
             rows.pop(identity, None)
         rows.update((row.identity, row) for row in _rows(reply.directory_changed or (), now))
         if directory_check(rows.values()) != reply.directory_check:
-            self._refuse("changes that lead elsewhere")
+            self._refuse("checksum mismatch after changes")
             return
         self._keep(reply, rows.values())
 
@@ -74,7 +76,7 @@
         self._forget_base()
 
     def _forget_base(self):
-        """Ask for the whole next; what is listed stays until it comes."""
+        """Request a full copy next; the current rows stay until it arrives."""
         self._epoch = ""
         self._version = 0
 
@@ -83,6 +85,6 @@
     return [to_row(record, now - (record.age or 0.0), direct=False) for record in records]
 
 
-def _essentials(rows):
-    """Return what of the directory decisions depend on."""
+def _decision_fields(rows):
+    """Return the fields of the directory that decisions depend on."""
     return [(row.identity, row.state, row.leaving) for row in rows]
--- a/traystall/gateway/front.py
+++ b/traystall/gateway/front.py
@@ -1,4 +1,4 @@
-"""The callers' side: accept requests, give each its one final answer in time."""
+"""Handle callers' requests, and send exactly one final response to each within its deadline."""
 
 import asyncio
 import logging
@@ -18,21 +18,21 @@
 from traystall.systems.residency import is_allowed
 from traystall.tables.requests import RequestRow, RunState
 
-MAX_EXPLAINED = 2000
+MAX_RECENT_REQUESTS = 2000
 
 logger = logging.getLogger(__name__)
 
 
 class Front:
-    """Handle `POST /v1/pipelines/{pipeline}/requests` and what belongs to it."""
+    """Handle `POST /v1/pipelines/{pipeline}/requests` and `GET /v1/requests/{request}`."""
 
     def __init__(self, context: GatewayContext, relay: Relay):
         self._context = context
         self._relay = relay
         self._runner = RequestRunner(context)
         self._allowances = Allowances(context)
-        self._lingering: set[asyncio.Task] = set()
-        self._explained: OrderedDict[str, RequestRow] = OrderedDict()
+        self._detached: set[asyncio.Task] = set()
+        self._recent: OrderedDict[str, RequestRow] = OrderedDict()
         self.in_flight = 0
         self.draining = False
 
@@ -44,12 +44,12 @@
     async def drain(self, seconds: float) -> None:
         """Return once nothing is in flight, or after `seconds`."""
         deadline = clock.monotonic() + seconds
-        while (self.in_flight or self._lingering) and clock.monotonic() < deadline:
+        while (self.in_flight or self._detached) and clock.monotonic() < deadline:
             await asyncio.sleep(0.02)
         await self._context.ledger.drain()
 
     async def handle(self, request: web.Request) -> web.StreamResponse:
-        """Answer one request, here or through a gateway inside its places."""
+        """Handle one request, here or through a gateway in the customer's data centres."""
         self.in_flight += 1
         try:
             response = await self._answer(request)
@@ -59,7 +59,7 @@
         except Refusal as refusal:
             return self._refuse(request, refusal)
         except Exception:
-            # A fault of this program: the log says what, the caller gets a truthful answer.
+            # An unexpected error: the traceback is logged, and the request may have run.
             logger.exception("request failed")
             refusal = Refusal(problems.INTERNAL, run=RunState.MAY_HAVE_RUN)
             return self._refuse(request, refusal)
@@ -71,13 +71,13 @@
         self._count(request.match_info["pipeline"], refusal.problem.code)
         decision("refuse", code=refusal.problem.code, run=run.value, why=refusal.detail)
         response = answers.problem_response(refusal, run)
-        # A body that was not read must not be taken for the next request.
+        # Unread bytes of the body would be parsed as the next request.
         response.force_close()
         return response
 
     async def explain(self, request: web.Request) -> web.Response:
-        """Return where a recent request's stages ran and why; no payload."""
-        row = self._explained.get(request.match_info["request"])
+        """Return where the stages of a recent request ran and why, without payload."""
+        row = self._recent.get(request.match_info["request"])
         if row is None:
             return web.json_response({"error": "This gateway does not know it."}, status=404)
         return web.json_response(explanation(row, self._context))
@@ -134,47 +134,49 @@
         return stream.response
 
     async def _run_in_time(self, row, body, on_token) -> dict:
-        """Return the answer by the deadline or raise Refusal; claimed work goes on without us."""
+        """Return the answer by the deadline or raise Refusal; claimed work keeps running."""
         task = asyncio.create_task(self._runner.run(row, body, on_token))
         try:
             await asyncio.wait({task}, timeout=max(0.0, row.deadline - clock.monotonic()))
         except asyncio.CancelledError:
-            await self._let_go(row, task)
+            await self._detach(row, task)
             raise
         if task.done():
             return task.result()
-        await self._let_go(row, task)
+        await self._detach(row, task)
         if task.done() and not task.cancelled() and task.exception() is None:
             return task.result()
         run = RunState.MAY_HAVE_RUN if row.claimed else row.run_state
         raise Refusal(problems.TOO_LATE, "The deadline passed.", 1, run)
 
-    async def _let_go(self, row, task):
-        """Cancel repeatable work and wait until it can't send any more; let claimed work run."""
+    async def _detach(self, row, task):
+        """Cancel the work and wait until it has stopped, or let it finish if it must."""
         if row.claimed or self._must_finish(row):
-            self._lingering.add(task)
-            task.add_done_callback(self._end_lingering)
+            self._detached.add(task)
+            task.add_done_callback(self._on_detached_done)
             return
         task.cancel()
         await asyncio.wait({task})
 
     def _must_finish(self, row):
-        """Return whether unkeyed not-repeatable work is under way: cutting it helps nobody.
+        """Return whether unkeyed work that is not repeatable may be running at a target.
 
-        Work that has not been sent is always cancelled: the caller may be told
-        that it did not run, and then it must not.
+        Cancelling it would only lose its result. Work that has not been sent is always cancelled:
+        the caller may get a "not-run" response, and then the work must not run.
         """
         if row.run_state is RunState.NOT_RUN or not row.stages:
             return False
         return not row.is_repeatable(row.pipeline.stages[len(row.stages) - 1])
 
-    def _end_lingering(self, task):
-        self._lingering.discard(task)
+    def _on_detached_done(self, task):
+        self._detached.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            logger.info("claimed work ended late", extra={"why": str(task.exception())})
+            logger.info(
+                "claimed work failed after the response", extra={"why": str(task.exception())}
+            )
 
     def _close(self, row, refusal) -> RunState:
-        """Close the row and return what may truthfully be said of it."""
+        """Close the row of a refused request and return the run state to report."""
         row.closed = True
         run = refusal.run or row.run_state
         self._count(row.pipeline.name, refusal.problem.code)
@@ -188,9 +190,9 @@
         return run
 
     def _remember(self, row):
-        self._explained[row.request_id] = row
-        if len(self._explained) > MAX_EXPLAINED:
-            self._explained.popitem(last=False)
+        self._recent[row.request_id] = row
+        if len(self._recent) > MAX_RECENT_REQUESTS:
+            self._recent.popitem(last=False)
 
     def _count(self, pipeline, outcome):
         if self._context.tables.pipeline(pipeline) is None:
@@ -199,7 +201,7 @@
 
 
 def explanation(row: RequestRow, context: GatewayContext) -> dict:
-    """Return what this gateway knows of a request, without payload."""
+    """Return what this gateway knows about a request, without payload."""
     return {
         "request": row.request_id,
         "customer": row.customer,
--- a/traystall/gateway/health.py
+++ b/traystall/gateway/health.py
@@ -1,4 +1,4 @@
-"""Serve the pages of a daemon's health beside an aiohttp application's own."""
+"""Serve metrics and health checks from an aiohttp application."""
 
 from collections.abc import Callable
 
@@ -8,7 +8,7 @@
 
 
 def add_health_routes(app: web.Application, is_ready: Callable[[], bool]) -> None:
-    """Add the pages to `app`; `is_ready` decides `/readyz`."""
+    """Add the routes to `app`; `is_ready` decides the status of `/readyz`."""
 
     async def metrics(request: web.Request) -> web.Response:
         return _response(health.metrics_page(request.headers.getall("Accept", [])))
--- a/traystall/gateway/learning.py
+++ b/traystall/gateway/learning.py
@@ -1,25 +1,25 @@
-"""Learn from each attempt: times, speeds, breakers, windows, and what was wasted."""
+"""Update durations, target speeds, circuit breakers, windows and metrics from each attempt."""
 
 from traystall.core import clock, metrics
 from traystall.core.exceptions import TargetDoubt, TargetError, TargetFailed, TargetNotRun
 from traystall.gateway.adapters.base import Reply
 from traystall.gateway.context import GatewayContext
-from traystall.gateway.news import note_presence
 from traystall.gateway.problems import Refusal
 from traystall.gateway.stage_run import StageRun
+from traystall.gateway.target_notices import apply_presence
 from traystall.systems import breakers, deadlines, membership, speeds, windows
 from traystall.systems.retries import FailureKind
 from traystall.tables.targets import TargetRow
 
 
 class Learner:
-    """Fold what attempts showed into the gateway's tables."""
+    """Record the results of attempts in the gateway's tables."""
 
     def __init__(self, context: GatewayContext):
         self._context = context
 
     def on_success(self, run: StageRun, target: TargetRow, reply: Reply, seconds: float) -> None:
-        """Take in a whole result."""
+        """Record an attempt with a complete result."""
         now = clock.monotonic()
         times = self._times(run, now)
         limited = self._context.dispatcher.waiting(run.stage.pool) > 0
@@ -42,7 +42,7 @@
     def on_waste(
         self, run: StageRun, target: TargetRow, error: BaseException, seconds: float
     ) -> None:
-        """Count the time of an attempt without a result, unless its tokens are kept."""
+        """Count the time of an attempt without a result as wasted, unless its tokens are reused."""
         if isinstance(error, Refusal):
             windows.on_queue(target)
         if isinstance(error, TargetNotRun):
@@ -56,26 +56,26 @@
     def on_failure(
         self, run: StageRun, target: TargetRow, error: TargetError, now: float
     ) -> FailureKind:
-        """Take in a failed attempt and return what it proves."""
+        """Record a failed attempt; return whether it ran, failed or has an unknown outcome."""
         windows.on_failure(target)
         if isinstance(error, TargetNotRun):
             self._on_not_run(run, target, error, now)
             return FailureKind.NOT_RUN
         if isinstance(error, TargetFailed):
-            self._break(target, now)
+            self._record_failure(target, now)
             return FailureKind.FAILED
         typical = self._times(run, now).quantile(deadlines.TYPICAL)
         elapsed = now - run.attempt_started
         speeds.on_overdue(target, elapsed, typical, now)
-        # A deadline that came early says nothing of the target: slowness is not failure.
+        # A timeout within the usual duration is no evidence of a failure of the target.
         if not (error.timed_out and speeds.is_within_usual_time(elapsed, typical)):
-            self._break(target, now)
+            self._record_failure(target, now)
         return FailureKind.DOUBT
 
     def will_miss_deadline(
         self, run: StageRun, target: TargetRow, started_at: float, index: int
     ) -> bool:
-        """Learn from the pace of tokens; return whether the rest can't come in time."""
+        """Return whether the remaining tokens would miss the deadline at the measured pace."""
         now = clock.monotonic()
         elapsed = now - started_at
         done = index + 1 - run.resumed_from
@@ -86,7 +86,7 @@
             speeds.on_overdue(target, projected, times.quantile(deadlines.TYPICAL), now)
         if not deadlines.will_miss_deadline(elapsed, done, left, run.run_until - now):
             return False
-        # What is given up counts as well: else only the fast ones would be remembered.
+        # Abandoned attempts are recorded too, else the table would hold only fast ones.
         times.record(projected, now)
         return True
 
@@ -95,11 +95,11 @@
             run.row.attempts_not_run += 1
         if error.leaving:
             report = membership.PresenceReport(target.target.name, True, first_hand=True)
-            note_presence(target, report)
+            apply_presence(target, report)
         elif not error.sent:
-            self._break(target, now)
+            self._record_failure(target, now)
 
-    def _break(self, target, now):
+    def _record_failure(self, target, now):
         breakers.on_failure(target.breaker, now, self._context.random)
 
     def _times(self, run, now):
--- a/traystall/gateway/lookups.py
+++ b/traystall/gateway/lookups.py
@@ -1,8 +1,7 @@
-"""Ask targets that declare it what became of a key.
+"""Look up the result of an idempotency key at targets that support it.
 
-The protocol: GET on the target's declared `lookup` path with the key in the
-Idempotency-Key header answers `{"known": true, "result": {...}}` or
-`{"known": false}`.
+The protocol: a GET request for the target's declared `lookup` path with the key in the
+Idempotency-Key header returns `{"known": true, "result": {...}}` or `{"known": false}`.
 """
 
 import asyncio
@@ -11,23 +10,23 @@
 from traystall.core.exceptions import TargetError
 from traystall.gateway.adapters.base import KEY_HEADER
 from traystall.gateway.context import GatewayContext
-from traystall.gateway.news import note_asked, note_limit
+from traystall.gateway.target_notices import apply_backoff, apply_rate_limit
 from traystall.permits.exceptions import PermitDenied
 from traystall.systems.residency import is_allowed
 from traystall.tables.entities import Stage
 from traystall.tables.requests import RequestRow
 
-_ASK_SECONDS = 1.0
+_TIMEOUT_SECONDS = 1.0
 
 
-class LookUps:
-    """Find the result of a key at the targets of a stage's pool."""
+class ResultLookup:
+    """Look up keys at the targets of a stage's pool."""
 
     def __init__(self, context: GatewayContext):
         self._context = context
 
     async def find(self, row: RequestRow, stage: Stage) -> dict | None:
-        """Return the key's result if any allowed target knows it, else None."""
+        """Return the result of the row's key if an allowed target knows it, else None."""
         customer = self._context.tables.customer(row.customer)
         if customer is None:
             return None
@@ -45,20 +44,22 @@
             return None
         try:
             if row is not None:
-                await self._context.spare_permit(row)
+                await self._context.take_spare_permit(row)
         except PermitDenied:
             return None
         sent_at = clock.monotonic()
 
         def on_head(status, headers):
             if row is not None:
-                note_asked(row, status, headers)
-                note_limit(self._context.permits, row, status, headers, sent_at, is_work=False)
+                apply_backoff(row, status, headers)
+                apply_rate_limit(
+                    self._context.permits, row, status, headers, sent_at, is_work=False
+                )
 
         url = f"http://{target.address}{target.lookup}"
         try:
             document = await self._context.http.get_json(
-                url, _ASK_SECONDS, {KEY_HEADER: key}, on_head
+                url, _TIMEOUT_SECONDS, {KEY_HEADER: key}, on_head
             )
         except TargetError:
             return None
--- a/traystall/gateway/parsing.py
+++ b/traystall/gateway/parsing.py
@@ -1,4 +1,4 @@
-"""Read a caller's request: headers, deadline, key and body, each with its own clear error."""
+"""Parse a caller's request: headers, deadline, key and body."""
 
 import hashlib
 import json
@@ -26,7 +26,7 @@
 
 
 class Envelope(msgspec.Struct, frozen=True):
-    """Hold what the headers say; nothing of the body is read for it."""
+    """Parsed headers of a request."""
 
     customer: Customer
     pipeline: Pipeline
@@ -38,7 +38,7 @@
 
 
 def read_envelope(request: web.Request, tables: ConfigurationTables) -> Envelope:
-    """Return the request's headers in typed form, or raise Refusal."""
+    """Return the parsed headers of a request, or raise Refusal; the body is not read."""
     pipeline = tables.pipeline(request.match_info["pipeline"])
     if pipeline is None:
         raise Refusal(problems.UNKNOWN_PIPELINE, f"'{request.match_info['pipeline']}'.")
@@ -57,7 +57,7 @@
 
 
 async def read_body(request: web.Request) -> bytes:
-    """Return the whole body, or raise Refusal if it is too large."""
+    """Return the complete body, or raise Refusal if it is too large."""
     try:
         return await request.read()
     except web.HTTPRequestEntityTooLarge as error:
@@ -94,7 +94,7 @@
 
 
 def fingerprint(pipeline: str, data: bytes) -> bytes:
-    """Return what tells one request from another under the same key."""
+    """Return a hash that tells different requests with the same key apart."""
     return hashlib.sha256(pipeline.encode() + b"\0" + data).digest()[:_FINGERPRINT_BYTES]
 
 
--- a/traystall/gateway/presence.py
+++ b/traystall/gateway/presence.py
@@ -1,4 +1,7 @@
-"""Learn which targets are leaving: the platform's list and the targets' own word."""
+"""Watch the state of targets: poll the platform's list and the targets themselves.
+
+Both tell which targets are leaving, that is, are about to stop and must get no new work.
+"""
 
 import asyncio
 import logging
@@ -6,76 +9,76 @@
 from traystall.core import clock
 from traystall.core.exceptions import TargetError
 from traystall.gateway.context import GatewayContext
-from traystall.gateway.news import note_asked, note_limit, note_presence
+from traystall.gateway.target_notices import apply_backoff, apply_presence, apply_rate_limit
 from traystall.permits.exceptions import PermitDenied
 from traystall.systems.membership import PresenceReport
 from traystall.systems.probe_assignment import assigned_targets
 
-_ROUND_SECONDS = 1.0
-_ASK_SECONDS = 0.8
+_POLL_INTERVAL_SECONDS = 1.0
+_TIMEOUT_SECONDS = 0.8
 
 logger = logging.getLogger(__name__)
 
 
 class PresenceWatcher:
-    """Ask the platform's list, and each target of this data centre, once a round."""
+    """Poll the platform's list and this gateway's targets in its data centre periodically."""
 
     def __init__(self, context: GatewayContext):
         self._context = context
 
     async def watch_forever(self) -> None:
-        """Take in reports until cancelled."""
+        """Poll until cancelled."""
         while True:
-            await asyncio.gather(self._read_list(), *self._ask_targets())
+            await asyncio.gather(self._read_list(), *self._probe_targets())
             self._context.tick()
-            await asyncio.sleep(_ROUND_SECONDS)
+            await asyncio.sleep(_POLL_INTERVAL_SECONDS)
 
     async def _read_list(self):
         url = self._context.settings.platform_list
         if not url:
             return
         try:
-            document = await self._context.http.get_json(url, _ASK_SECONDS)
+            document = await self._context.http.get_json(url, _TIMEOUT_SECONDS)
         except TargetError as error:
             logger.warning("platform list not read", extra={"why": str(error)})
             return
         for item in document.get("instances", []):
-            self._take(item)
+            self._apply_item(item)
 
-    def _take(self, item):
+    def _apply_item(self, item):
         row = self._context.targets.get(str(item.get("name", "")))
         if row is not None:
             report = PresenceReport(
                 row.target.name, item.get("state") == "leaving", str(item.get("incarnation", ""))
             )
-            note_presence(row, report)
+            apply_presence(row, report)
 
-    def _ask_targets(self):
+    def _probe_targets(self):
         context = self._context
         here = context.data_centre
         rows = [row for row in context.targets.all() if row.target.data_centre == here]
         gateways = [g.identity for g in context.follower.directory if g.data_centre == here]
         names = assigned_targets([row.target.name for row in rows], gateways, context.identity)
         now = clock.monotonic()
-        availability = [row for row in rows if not row.availability.is_backing_off(now)]
-        return [self._ask(row) for row in availability if row.target.name in names]
+        probed = [row for row in rows if not row.availability.is_backing_off(now)]
+        return [self._probe(row) for row in probed if row.target.name in names]
 
-    async def _ask(self, row):
+    async def _probe(self, row):
         context = self._context
         try:
-            await context.spare_permit(row)
+            await context.take_spare_permit(row)
         except PermitDenied:
             return
         sent_at = clock.monotonic()
 
         def on_head(status, headers):
-            note_asked(row, status, headers)
-            note_limit(context.permits, row, status, headers, sent_at, is_work=False)
+            apply_backoff(row, status, headers)
+            apply_rate_limit(context.permits, row, status, headers, sent_at, is_work=False)
 
         try:
             document = await self._context.http.get_json(
                 f"http://{row.target.address}/v1/state",
-                _ASK_SECONDS,
+                _TIMEOUT_SECONDS,
                 on_head=on_head,
             )
         except TargetError:
@@ -86,7 +89,7 @@
             str(document.get("incarnation", "")),
             first_hand=True,
         )
-        note_presence(row, report)
+        apply_presence(row, report)
         ready = document.get("ready")
         if isinstance(ready, list):
             names = (item.get("name", "") for item in ready if isinstance(item, dict))
--- a/traystall/gateway/problems.py
+++ b/traystall/gateway/problems.py
@@ -1,4 +1,4 @@
-"""Refusals and failures as callers see them: problem+json with a stable code."""
+"""Errors that callers get: problem+json documents with stable codes."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class Problem(msgspec.Struct, frozen=True):
-    """Describe one way to answer without a result."""
+    """Type of an error response."""
 
     status: int
     code: str
@@ -39,7 +39,7 @@
 
 
 class Refusal(Exception):
-    """End a request with a problem; `run` says what may truthfully be said of it."""
+    """Ends a request with a problem; `run` is the run state to report, if it is known."""
 
     def __init__(
         self, problem: Problem, detail: str = "", retry_after: int = 1, run: RunState | None = None
--- a/traystall/gateway/relay.py
+++ b/traystall/gateway/relay.py
@@ -1,7 +1,7 @@
-"""Pass a request's bytes to a gateway inside the customer's data centres.
+"""Forward a request to a gateway in one of the customer's data centres.
 
-This gateway is outside them: it reads headers only, keeps no part of the body
-and logs no payload.
+This gateway is outside of them: it reads only the headers, stores no part of the body and logs no
+payload.
 """
 
 import logging
@@ -20,21 +20,21 @@
 _CONNECT_SECONDS = 0.5
 _GRACE_SECONDS = 1.0
 _CHUNK_BYTES = 64 * 1024
-_PASSED_HEADERS = ("Content-Type", "Retry-After", "Cache-Control")
+_FORWARDED_HEADERS = ("Content-Type", "Retry-After", "Cache-Control")
 _HOP_HEADERS = {"host", "connection", "transfer-encoding", "content-length", "keep-alive"}
 
 logger = logging.getLogger(__name__)
 
 
 class Relay:
-    """Forward requests of customers whose data may not be here."""
+    """Forward requests of customers whose data must not be processed in this data centre."""
 
     def __init__(self, context: GatewayContext):
         self._context = context
         self._session: aiohttp.ClientSession | None = None
 
     async def open(self) -> None:
-        """Open the connection pool; a relayed request always gets a fresh connection."""
+        """Open the client session; every relayed request gets a new connection."""
         connector = aiohttp.TCPConnector(limit=0, force_close=True)
         self._session = aiohttp.ClientSession(
             connector=connector, auto_decompress=False, trust_env=False
@@ -46,7 +46,7 @@
             await self._session.close()
 
     async def forward(self, request: web.Request, envelope: Envelope) -> web.StreamResponse:
-        """Return the inner gateway's response, passed on as it comes; raise Refusal if none."""
+        """Stream the response of the first reachable gateway; raise Refusal if there is none."""
         if envelope.relayed:
             raise Refusal(problems.PLACE_CHANGED, "Two gateways disagree on the places.")
         if not may_relay(envelope.customer):
@@ -64,7 +64,7 @@
         raise Refusal(problems.OUT_OF_PLACE, "Try again shortly.", 2)
 
     async def _try(self, request, envelope, gateway):
-        """Return the response, or None if the gateway could not be reached at all."""
+        """Return the response, or None if no connection to the gateway could be established."""
         decision(
             "relay",
             customer=envelope.customer.name,
@@ -81,7 +81,7 @@
                 timeout=timeout,
                 allow_redirects=False,
             ) as answer:
-                return await self._pass_on(request, answer)
+                return await self._stream_response(request, answer)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
             return None
         except (aiohttp.ClientError, TimeoutError, ConnectionError) as error:
@@ -101,11 +101,11 @@
         headers[DEADLINE_HEADER] = str(max(1, int(envelope.deadline_seconds * 1000)))
         return headers
 
-    async def _pass_on(self, request, answer):
+    async def _stream_response(self, request, answer):
         outgoing = web.StreamResponse(
             status=answer.status,
             headers={
-                name: answer.headers[name] for name in _PASSED_HEADERS if name in answer.headers
+                name: answer.headers[name] for name in _FORWARDED_HEADERS if name in answer.headers
             },
         )
         await outgoing.prepare(request)
@@ -114,7 +114,7 @@
                 await outgoing.write(chunk)
             await outgoing.write_eof()
         except (aiohttp.ClientError, TimeoutError):
-            # Headers are out: cut the connection, so that the part is not taken for the whole.
+            # The headers are sent: abort the connection to show that the response is incomplete.
             if request.transport is not None:
                 request.transport.abort()
         return outgoing
--- a/traystall/gateway/results.py
+++ b/traystall/gateway/results.py
@@ -1,4 +1,4 @@
-"""Keep answers of keyed not-repeatable work, inside the customer's data centres only."""
+"""Store the answers of keyed work that is not repeatable, only in the customer's data centres."""
 
 from collections import OrderedDict
 
@@ -8,7 +8,7 @@
 
 
 class KeptResult(msgspec.Struct):
-    """Hold one answer; `expires_at` is monotonic seconds."""
+    """A stored answer; `expires_at` is monotonic seconds."""
 
     customer: str
     data: bytes
@@ -16,14 +16,14 @@
 
 
 class ResultStore:
-    """Hold answers by claim id, the oldest dropped first when the bound is reached."""
+    """Store answers by claim id; the oldest are evicted when the size limit is exceeded."""
 
     def __init__(self):
         self._rows: OrderedDict[str, KeptResult] = OrderedDict()
         self._bytes = 0
 
     def put(self, claim_id: str, customer: str, data: bytes, retention: float, now: float) -> None:
-        """Keep an answer for `retention` seconds at most."""
+        """Store an answer for at most `retention` seconds."""
         self._drop(claim_id)
         self._rows[claim_id] = KeptResult(customer, data, now + retention)
         self._bytes += len(data)
@@ -31,7 +31,7 @@
             self._drop(next(iter(self._rows)))
 
     def get(self, claim_id: str, customer: str, now: float) -> bytes | None:
-        """Return a kept answer if it is this customer's and not expired, else None."""
+        """Return a stored answer if it is this customer's and not expired, else None."""
         row = self._rows.get(claim_id)
         if row is None or row.customer != customer:
             return None
@@ -41,7 +41,7 @@
         return row.data
 
     def purge(self, may_keep) -> None:
-        """Drop every answer of a customer for whom `may_keep(customer)` is false."""
+        """Drop the answers of all customers for whom `may_keep(customer)` is false."""
         for claim_id, row in list(self._rows.items()):
             if not may_keep(row.customer):
                 self._drop(claim_id)
--- a/traystall/gateway/runner.py
+++ b/traystall/gateway/runner.py
@@ -1,4 +1,9 @@
-"""Run a whole request: its stages in order, and its claim if it is keyed and not repeatable."""
+"""Run a request: its stages in order, under a claim if it is keyed and not repeatable.
+
+Before a non-repeatable stage of a request with an idempotency key runs, the gateway claims the key
+in the ledger of the control group, so that the work runs at most once. The claim is settled with
+the outcome, released if nothing ran, and otherwise left open.
+"""
 
 import asyncio
 import json
@@ -12,7 +17,7 @@
 from traystall.gateway import answers, problems
 from traystall.gateway.context import GatewayContext
 from traystall.gateway.ledger import LedgerUnavailable
-from traystall.gateway.lookups import LookUps
+from traystall.gateway.lookups import ResultLookup
 from traystall.gateway.problems import Refusal
 from traystall.gateway.stages import StageRun, StageRunner
 from traystall.ledger.models import ClaimOutcome
@@ -27,19 +32,20 @@
 from traystall.systems.residency import holder_candidates, is_allowed
 from traystall.tables.requests import RequestRow, RunState, StageRecord
 
-# Claimed work goes on this long after its caller has had an answer, in seconds.
+# Claimed work may continue for this long after the request's deadline.
 LINGER_SECONDS = 60.0
-# A claim may take this share of the time left, since the work itself needs some.
-_CLAIM_SHARE = 0.8
-# Work is sent under a claim only in this share of its retention, whatever clocks drift.
-_RETENTION_SHARE = 0.9
-_HOLDERS_WANTED = 2
-_HOLD_SECONDS = 0.5
-_HELD_POLL_SECONDS = 0.2
+# The fraction of the remaining time that a claim may take; the work itself needs the rest.
+_CLAIM_TIME_RATIO = 0.8
+# Work is sent under a claim only within this fraction of its retention, to allow for clock drift.
+_SEND_WINDOW_RATIO = 0.9
+# Number of gateways that keep a claimed result, including this one.
+_RESULT_COPIES = 2
+_RESULT_CALL_SECONDS = 0.5
+_CLAIM_POLL_SECONDS = 0.2
 
 
 class Claimed(msgspec.Struct, frozen=True):
-    """Hold what a claim led to: nothing (it was won), a whole answer, or a stage's result."""
+    """Result of a claim: empty if it was won, else the stored answer or a stage's result."""
 
     answer: dict | None = None
     result: dict | None = None
@@ -51,10 +57,10 @@
     def __init__(self, context: GatewayContext):
         self._context = context
         self._stages = StageRunner(context)
-        self._look_ups = LookUps(context)
+        self._result_lookup = ResultLookup(context)
 
     async def run(self, row: RequestRow, body: dict, on_token) -> dict:
-        """Return the whole answer document, or raise Refusal."""
+        """Return the complete response document, or raise Refusal."""
         name = row.pipeline.name
         guarded = GuardedRun(row.customer, name, name, row.fingerprint)
         try:
@@ -94,7 +100,7 @@
         return await self._finish(row, answers.whole_document(row, results[stage.name]))
 
     def _run_until(self, row):
-        """Return how long stages may go on: claimed work lingers, but never past its claim."""
+        """Return the time limit of stages; claimed work may exceed the deadline, not its claim."""
         if not row.claimed:
             return row.deadline
         return min(row.deadline + LINGER_SECONDS, row.claim_ends_at)
@@ -108,15 +114,15 @@
     # ---- claims ----
 
     async def _claim(self, row, stage) -> "Claimed":
-        """Win the claim, or return what an earlier run left."""
+        """Win the claim, or return the result of an earlier run."""
         try:
-            return await self._ask_for_claim(row, stage)
+            return await self._request_claim(row, stage)
         except asyncio.CancelledError:
-            # The claim may be committed, but nothing will be dispatched under it.
+            # The claim may be committed, but no work will be sent under it.
             self._release(row)
             raise
 
-    async def _ask_for_claim(self, row, stage):
+    async def _request_claim(self, row, stage):
         request = ClaimRequest(
             customer=row.customer,
             key=row.key,
@@ -127,8 +133,8 @@
             stage=stage.name,
         )
         while True:
-            seconds = self._remaining(row) * _CLAIM_SHARE
-            ends_at = clock.monotonic() + row.pipeline.retention * _RETENTION_SHARE
+            seconds = self._remaining(row) * _CLAIM_TIME_RATIO
+            ends_at = clock.monotonic() + row.pipeline.retention * _SEND_WINDOW_RATIO
             try:
                 reply = await self._context.ledger.claim(request, seconds)
             except LedgerUnavailable as error:
@@ -137,44 +143,45 @@
                 raise Refusal(problems.LEDGER_UNAVAILABLE, str(error), 2) from error
             decision("claim", request=row.request_id, stage=stage.name, outcome=reply.outcome)
             if reply.outcome == ClaimOutcome.WON:
-                self._require_window(row, ends_at)
+                self._require_time_left(row, ends_at)
                 row.on_claimed(ends_at)
                 return Claimed()
             if reply.outcome != ClaimOutcome.HELD:
-                return Claimed(answer=await self._answer_of(row, reply))
-            result = await self._look_up(row, stage, reply)
+                return Claimed(answer=await self._claimed_answer(row, reply))
+            result = await self._find_result(row, stage, reply)
             if result is not None:
                 return Claimed(result=result)
-            if not reply.claimant_alive or self._remaining(row) <= _HELD_POLL_SECONDS:
+            if not reply.claimant_alive or self._remaining(row) <= _CLAIM_POLL_SECONDS:
                 raise Refusal(problems.CLAIM_HELD, run=RunState.MAY_HAVE_RUN, retry_after=2)
-            await asyncio.sleep(_HELD_POLL_SECONDS)
+            await asyncio.sleep(_CLAIM_POLL_SECONDS)
 
     def _remaining(self, row):
         return row.deadline - clock.monotonic()
 
-    async def _look_up(self, row, stage, reply) -> dict | None:
-        """Settle a doubt by asking targets for the key: a result there is the work's own.
+    async def _find_result(self, row, stage, reply) -> dict | None:
+        """Look for the result of an unsettled claim at the targets, which know their keys.
 
-        A target that does not know the key proves nothing: the call may be on its way.
+        A result found there is the result of the claimed work. A target that does not know the
+        key proves nothing: the request may still be on its way.
         """
         later = row.pipeline.stages[row.pipeline.stages.index(stage) + 1 :]
         if not all(row.is_repeatable(other) for other in later):
             return None
-        result = await self._look_ups.find(row, stage)
+        result = await self._result_lookup.find(row, stage)
         if result is None:
             return None
         decision("claim-settled-by-target", request=row.request_id, stage=stage.name)
         row.adopt_claim(reply.claim_id)
         return result
 
-    def _require_window(self, row, ends_at):
-        """Refuse to dispatch too late: this process may have been frozen meanwhile."""
+    def _require_time_left(self, row, ends_at):
+        """Refuse to send work too late: this process may have been suspended in the meantime."""
         if clock.monotonic() >= min(row.deadline, ends_at):
             self._release(row)
             raise Refusal(problems.TOO_LATE, "The claim came after the deadline.")
 
-    async def _answer_of(self, row, reply) -> dict:
-        """Return the answer that the holder of the key left; raise Refusal if there is none."""
+    async def _claimed_answer(self, row, reply) -> dict:
+        """Return the stored answer of a settled claim; raise Refusal if there is none."""
         if reply.outcome == ClaimOutcome.MISMATCH:
             raise Refusal(problems.KEY_MISMATCH)
         if reply.outcome == ClaimOutcome.EXPIRED:
@@ -197,7 +204,7 @@
         )
         for address in reply.holders or ():
             try:
-                found = await self._context.links.link(address).call(request, _HOLD_SECONDS)
+                found = await self._context.links.link(address).call(request, _RESULT_CALL_SECONDS)
             except RpcError:
                 continue
             if found.found and digest(found.result) == reply.digest:
@@ -205,9 +212,9 @@
         return None
 
     async def _settle(self, row, answer) -> None:
-        """Keep the answer in two places and commit the outcome before it is given."""
+        """Store the answer at two gateways and commit the outcome, before the caller gets it."""
         data = json.dumps(answer).encode()
-        holders = await self._keep(row, data)
+        holders = await self._store_result(row, data)
         request = SettleRequest(
             customer=row.customer,
             key=row.key,
@@ -222,7 +229,7 @@
                 problems.LEDGER_UNAVAILABLE, "The outcome is not recorded.", run=RunState.RAN
             ) from error
 
-    async def _keep(self, row, data) -> list[str]:
+    async def _store_result(self, row, data) -> list[str]:
         context = self._context
         customer = context.tables.customer(row.customer)
         if customer is None or not is_allowed(customer, context.data_centre):
@@ -240,25 +247,27 @@
             customer, context.follower.directory, context.identity, context.data_centre
         )
         for other in others:
-            if len(holders) >= _HOLDERS_WANTED:
+            if len(holders) >= _RESULT_COPIES:
                 break
-            if await self._hold_at(other, request):
+            if await self._store_at(other, request):
                 holders.append(other.rpc_address)
         return holders
 
-    async def _hold_at(self, gateway, request) -> bool:
+    async def _store_at(self, gateway, request) -> bool:
         try:
-            reply = await self._context.links.link(gateway.rpc_address).call(request, _HOLD_SECONDS)
+            reply = await self._context.links.link(gateway.rpc_address).call(
+                request, _RESULT_CALL_SECONDS
+            )
         except RpcError:
             return False
         return bool(reply.held)
 
     async def _close_claim(self, row, refusal) -> None:
-        """After a refusal: give the claim back if nothing ran under it, else leave it open."""
+        """Release the claim after a refusal if nothing ran under it, else leave it open."""
         if not row.claimed:
             return
         if row.may_have_run_since_claim:
-            # The outcome stays open: a doubt is never turned into a run, nor into "not run".
+            # The outcome is unknown: it must be recorded neither as run nor as not run.
             decision("claim-in-doubt", request=row.request_id, why=refusal.problem.code)
             return
         self._release(row)
--- a/traystall/gateway/service.py
+++ b/traystall/gateway/service.py
@@ -1,4 +1,4 @@
-"""Answer other gateways: keep and fetch results, hand the configuration to a neighbour."""
+"""Handle requests of other gateways: results, configuration, borrowed limits and permits."""
 
 from traystall.core import clock
 from traystall.core.exceptions import RpcRefused
@@ -10,7 +10,7 @@
 
 
 class GatewayService:
-    """Dispatch wire requests of neighbours."""
+    """Dispatch RPC requests of other gateways to their handlers."""
 
     def __init__(self, context: GatewayContext):
         self._context = context
@@ -48,7 +48,7 @@
         return ttypes.HoldResultReply(held=True)
 
     def _fetch(self, request):
-        """Hand out a kept result only to a gateway inside the customer's data centres."""
+        """Return a stored result, only to gateways in the customer's data centres."""
         context = self._context
         customer = context.tables.customer(request.customer)
         if customer is None or not is_allowed(customer, request.data_centre):
--- a/traystall/gateway/settings.py
+++ b/traystall/gateway/settings.py
@@ -22,7 +22,7 @@
 
 
 def check_gateway(settings: Settings) -> list[Problem]:
-    """Return what is wrong with the settings taken together."""
+    """Return the problems of the settings as a whole."""
     problems = check_address("listen", settings.listen)
     problems += check_address("rpc_listen", settings.rpc_listen)
     problems += check_addresses("control", settings.control)
--- a/traystall/gateway/stages.py
+++ b/traystall/gateway/stages.py
@@ -1,4 +1,4 @@
-"""Run one stage of a request: wait for a target, make attempts, learn from each."""
+"""Run one stage of a request: wait for a slot at a target, make attempts, record their results."""
 
 import asyncio
 import math
@@ -18,9 +18,9 @@
 from traystall.gateway.context import GatewayContext
 from traystall.gateway.dispatch import NoCandidate, TooLateToStart
 from traystall.gateway.learning import Learner
-from traystall.gateway.news import note_asked, note_limit, note_presence
 from traystall.gateway.problems import Refusal
 from traystall.gateway.stage_run import StageRun
+from traystall.gateway.target_notices import apply_backoff, apply_presence, apply_rate_limit
 from traystall.permits.exceptions import PermitDenied
 from traystall.quarantine.ends import TargetIncarnation
 from traystall.systems import admission, breakers, deadlines, membership, retries
@@ -29,14 +29,14 @@
 from traystall.tables.entities import Kind
 from traystall.tables.targets import TargetRow, TargetState
 
-# How long a request waits while another trial is under way, and when to come back after a trial
-# that proved nothing, in seconds.
-_TRIAL_PATIENCE = 0.5
-_TRIAL_RETRY_AFTER = 1
-# The part of its time left that a request may wait for its turn at a limited target.
-_TURN_PART = 0.3
-# Statuses from here on are failures.
-_FAILURES = 500
+# A quarantined request is admitted as a trial, one at a time: how long a request waits for another
+# trial to end, and the Retry-After of a trial that gave no result.
+_TRIAL_WAIT_SECONDS = 0.5
+_TRIAL_RETRY_AFTER_SECONDS = 1
+# The fraction of its remaining time that a request may wait for a permit of a limited target.
+_PERMIT_WAIT_RATIO = 0.3
+# HTTP statuses from here on count as failures.
+_FAILURE_STATUS = 500
 
 
 class StageRunner:
@@ -47,7 +47,7 @@
         self._learner = Learner(context)
 
     async def run(self, run: StageRun) -> Reply:
-        """Return the stage's whole result, or raise Refusal."""
+        """Return the complete result of the stage, or raise Refusal."""
         attempts = 0
         while True:
             await self._require_admission(run, attempts)
@@ -56,7 +56,7 @@
             try:
                 return await self._attempt(run, target)
             except TargetHeldBack:
-                # Nothing was sent: it costs neither an attempt nor a retry.
+                # Nothing was sent, so neither an attempt nor a retry is counted.
                 attempts -= 1
             except TargetError as error:
                 self._after_failure(run, target, error, attempts)
@@ -64,22 +64,27 @@
     # ---- before an attempt ----
 
     async def _require_admission(self, run, attempts):
-        """Refuse what ended the targets that ran it; a trial is one attempt at each stage."""
+        """Refuse quarantined requests, which have ended the targets that ran them.
+
+        A request that is admitted as a trial gets a single attempt at each stage.
+        """
         if run.guarded.trial:
             if attempts:
-                raise Refusal(problems.QUARANTINED, "Its trial got no answer.", _TRIAL_RETRY_AFTER)
+                raise Refusal(
+                    problems.QUARANTINED, "Its trial got no answer.", _TRIAL_RETRY_AFTER_SECONDS
+                )
             return
-        admission = await self._context.guard.admit(run.guarded, _TRIAL_PATIENCE)
+        admission = await self._context.guard.admit(run.guarded, _TRIAL_WAIT_SECONDS)
         if not admission.may_send:
             seconds = max(1, math.ceil(admission.retry_after))
             raise Refusal(problems.QUARANTINED, admission.why, seconds)
 
     async def _acquire(self, run) -> TargetRow:
-        customer = self.require_place(run.row)
+        customer = self.require_residency(run.row)
         row, stage = run.row, run.stage
         now = clock.monotonic()
         times = self._context.times
-        rest = self._rest_of(row, run.index, now)
+        later_seconds = self._later_stages_seconds(row, run.index, now)
         waiter = Waiter(
             request_id=row.request_id,
             customer=customer,
@@ -90,13 +95,13 @@
                 times,
                 row.pipeline,
                 run.index,
-                run.run_until - self._later_waits(row, run.index),
+                run.run_until - self._later_queue_seconds(row, run.index),
                 now,
             ),
             excluded=self._usable_exclusions(run, customer),
             since=now,
             typical=times.of(row.pipeline.name, stage.name, now).quantile(deadlines.TYPICAL) or 0.0,
-            must_end_by=run.run_until - rest,
+            must_end_by=run.run_until - later_seconds,
             next_pool=run.next_pool,
         )
         try:
@@ -106,30 +111,30 @@
         except NoCandidate as error:
             raise Refusal(problems.NO_TARGET, f"Stage {stage.name}: {error}", 2) from error
         except TooLateToStart as error:
-            waiting = max(self._retry_after(row, stage), math.ceil(error.rest))
-            raise Refusal(problems.TOO_LATE, f"Stage {stage.name}: {error}", waiting) from error
+            seconds = max(self._retry_after(row, stage), math.ceil(error.blocked_seconds))
+            raise Refusal(problems.TOO_LATE, f"Stage {stage.name}: {error}", seconds) from error
         finally:
             run.record.queued_seconds += clock.monotonic() - now
 
-    def _rest_of(self, row, index, now):
-        """Return the seconds that the stages after `index` usually need."""
+    def _later_stages_seconds(self, row, index, now):
+        """Return the typical duration of the stages after `index`, in seconds."""
         return deadlines.typical_time(self._context.times, row.pipeline, index + 1, now)
 
-    def _later_waits(self, row, index):
-        """Return how long the stages after `index` lately had to wait for a target."""
+    def _later_queue_seconds(self, row, index):
+        """Return the recent queueing time of the stages after `index`, in seconds."""
         waits = self._context.dispatcher.waits
         return sum(waits.of(stage.pool) for stage in row.pipeline.stages[index + 1 :])
 
     def _usable_exclusions(self, run, customer):
-        """Leave out targets that failed this stage, unless nothing else is left."""
+        """Return the targets that failed this stage, or none if no other target is allowed."""
         rows = self._context.targets.pool(run.stage.pool)
         allowed = {row.target.name for row in rows if is_allowed(customer, row.target.data_centre)}
         if allowed <= run.excluded:
             run.excluded.clear()
         return frozenset(run.excluded)
 
-    def require_place(self, row):
-        """Return the customer as the newest revision declares it; refuse if it left this place."""
+    def require_residency(self, row):
+        """Return the customer of the newest revision; refuse if it no longer allows this place."""
         customer = self._context.tables.customer(row.customer)
         if customer is None or not is_allowed(customer, self._context.data_centre):
             raise Refusal(problems.PLACE_CHANGED, "The places were changed while it waited.")
@@ -154,7 +159,7 @@
         started = run.attempt_started = clock.monotonic()
         sent_before = row.attempts_sent
         try:
-            await self._take_permit(run, target)
+            await self._wait_for_permit(run, target)
             started = run.attempt_started = clock.monotonic()
             reply = await kinds.run(self._context.http, self._call(run, target, started))
             self._learner.on_success(run, target, reply, clock.monotonic() - started)
@@ -169,18 +174,18 @@
             breakers.on_abandoned(target.breaker)
             self._context.dispatcher.release(target, row.priority, run.is_recovery_attempt)
 
-    async def _take_permit(self, run, target):
-        """Take what a target that names a limit for all gateways lends, and wait for its moment.
+    async def _wait_for_permit(self, run, target):
+        """Get a permit for a target with a rate limit for all gateways; wait until it is valid.
 
-        Raise TargetHeldBack if others have it. Where all targets of the pool name one a request
-        waits for its turn, else another target serves it at once.
+        Raise TargetHeldBack if other gateways have the permits. The request waits for a permit
+        only if all targets of the pool are limited, else another target can serve it at once.
         """
         if not target.limit.is_limited:
             return
         rows = self._context.targets.pool(run.stage.pool)
         waits = all(row.limit.is_limited for row in rows)
         left = run.run_until - clock.monotonic()
-        patience = max(0.0, left * _TURN_PART) if waits else 0.0
+        patience = max(0.0, left * _PERMIT_WAIT_RATIO) if waits else 0.0
         try:
             run.permit = await self._context.permits.take(
                 target.life, target.target.data_centre, patience
@@ -220,20 +225,21 @@
         )
 
     def _on_sending(self, run, target):
-        """Record that a byte may leave; refuse if the time ended while this process slept.
+        """Count the attempt as sent, just before its first byte may leave.
 
-        What the target has asked for is looked at again: it may have come after the choice.
+        Raise instead if the deadline has passed, for example while the process was suspended, or
+        if the target has asked for a backoff or a lower rate since it was chosen.
         """
         if target.availability.is_backing_off(clock.monotonic()):
-            self._hold_back(target, "sending", "it has asked for rest")
+            self._hold_back(target, "sending", "the target asked for a backoff")
         if not self._context.permits.covers(target.life, run.permit):
-            self._hold_back(target, "limit", "it takes so many from all gateways")
+            self._hold_back(target, "limit", "no permit within the rate limit for all gateways")
         if clock.monotonic() >= run.run_until:
             raise TargetNotRun("its time ended before it was sent")
         run.row.attempts_sent += 1
 
     def _on_token(self, run, target, started_at, index, text):
-        """Pass a token on; learn from the pace, and give up if the rest can't come in time."""
+        """Forward a token; give up if the remaining ones can't arrive within the deadline."""
         run.on_token(index, text)
         if self._learner.will_miss_deadline(run, target, started_at, index):
             raise Refusal(problems.TOO_LATE, f"Stage {run.stage.name} is too slow to finish.")
@@ -245,22 +251,22 @@
             report = membership.PresenceReport(
                 target.target.name, leaving, incarnation, first_hand=True
             )
-            note_presence(target, report)
+            apply_presence(target, report)
         request = run.row.request_id
-        note_asked(target, status, headers, request)
+        apply_backoff(target, status, headers, request)
         permits = self._context.permits
-        note_limit(permits, target, status, headers, run.attempt_started, request)
-        if status < _FAILURES:
+        apply_rate_limit(permits, target, status, headers, run.attempt_started, request)
+        if status < _FAILURE_STATUS:
             target.availability.on_answer(clock.monotonic())
 
     # ---- after a failure ----
 
     def _look_into_end(self, run, target):
-        """Find out whether a target that was not leaving ended under a request."""
+        """Check whether a target that was not leaving ended while it ran a request."""
         if target.state is not TargetState.LIVE:
             return
         name, incarnation = target.target.name, target.incarnation
-        # Where targets don't tell their incarnation each end counts as that of another life.
+        # For targets that don't report an incarnation, each end counts as a separate one.
         life = f"{name}@{incarnation}" if incarnation else f"{name}/{run.row.request_id}"
 
         def evidence():
@@ -270,7 +276,7 @@
         self._context.guard.ends.on_connection_broken(watched, run.guarded)
 
     def _after_failure(self, run, target, error, attempts):
-        """Learn from a failed attempt; return to try again, or raise Refusal."""
+        """Record a failed attempt; return if the stage may be retried, else raise Refusal."""
         now = clock.monotonic()
         if isinstance(error, TargetDoubt) and error.broken:
             self._look_into_end(run, target)
@@ -278,7 +284,7 @@
         run.excluded.add(target.target.name)
         metrics.attempts_total.inc({"stage": run.stage.name, "outcome": kind.value})
         remaining = run.run_until - now
-        again = retries.may_retry(
+        may_retry = retries.may_retry(
             kind, run.repeatable, attempts, self._context.retry_budget, remaining
         )
         decision(
@@ -288,9 +294,9 @@
             target=target.target.name,
             kind=kind.value,
             why=str(error),
-            retry=again,
+            retry=may_retry,
         )
-        if again:
+        if may_retry:
             return
         problem = problems.TOO_LATE if remaining <= 0 else problems.STAGE_FAILED
         raise Refusal(problem, f"Stage {run.stage.name}: {error}", 1) from error
--- a/traystall/gateway/news.py
+++ b/traystall/gateway/target_notices.py
@@ -1,4 +1,4 @@
-"""Take in news of a target's presence and what it asks for, and log what they change."""
+"""Apply what targets announce: leaving, backoff periods and rate limits; log the changes."""
 
 from collections.abc import Iterable, Mapping
 
@@ -10,14 +10,13 @@
 from traystall.systems.target_limits import LIMIT_HEADER, parse_limit
 from traystall.tables.targets import TargetRow
 
-# Status of an answer by which a target limits how often it is asked.
-_TOO_MANY = 429
-# Statuses from here on are failures, which show no end of a limit.
-_FAILURES = 500
+_TOO_MANY_REQUESTS = 429
+# Statuses from here on are failures, which are no evidence that a rate limit has ended.
+_FAILURE_STATUS = 500
 
 
-def note_presence(target: TargetRow, report: membership.PresenceReport) -> None:
-    """Take in a report of a target's presence and log it if it changed anything."""
+def apply_presence(target: TargetRow, report: membership.PresenceReport) -> None:
+    """Apply a report of a target's state; log it if it changed anything."""
     known = target.incarnation
     changed = membership.on_report(target, report)
     if known and target.incarnation != known:
@@ -32,19 +31,19 @@
         )
 
 
-def note_asked(target: TargetRow, status: int, headers: Mapping, request: str = "") -> None:
-    """Take in what the head of any answer of a target asks for."""
-    if status not in (SERVICE_UNAVAILABLE, _TOO_MANY):
+def apply_backoff(target: TargetRow, status: int, headers: Mapping, request: str = "") -> None:
+    """Start a backoff period if the headers of any response of a target ask for one."""
+    if status not in (SERVICE_UNAVAILABLE, _TOO_MANY_REQUESTS):
         return
     now = clock.monotonic()
     seconds = parse_retry_after(headers.getall(RETRY_AFTER, []), headers.get("Date"))
-    was_resting = target.availability.is_backing_off(now)
-    if seconds and target.availability.request_backoff(seconds, request, now) and not was_resting:
+    had_backoff = target.availability.is_backing_off(now)
+    if seconds and target.availability.request_backoff(seconds, request, now) and not had_backoff:
         metrics.rests_total.inc({"pool": target.target.pool})
         decision("target-rests", target=target.target.name, seconds=seconds, request=request)
 
 
-def note_limit(
+def apply_rate_limit(
     permits: Permits,
     target: TargetRow,
     status: int,
@@ -53,22 +52,22 @@
     request: str = "",
     is_work: bool = True,
 ) -> None:
-    """Take in whether the head of an answer names a limit for all gateways together.
+    """Apply the rate limit for all gateways that the headers of a response announce, if any.
 
-    Only an answer to work that is no failure shows that one has ended; `sent_at` is when the
-    request left.
+    Only a successful response to work without such a header ends a limit. `sent_at` is the time
+    at which the request was sent.
     """
     values = headers.getall(LIMIT_HEADER, [])
     if not values and not target.limit.has_been_limited:
         return
-    word = parse_limit(values)
-    if word is None or (word.per_second is None and not (is_work and status < _FAILURES)):
+    limit = parse_limit(values)
+    if limit is None or (limit.per_second is None and not (is_work and status < _FAILURE_STATUS)):
         return
-    permits.observe_answer(target.life, word, sent_at, request)
+    permits.observe_answer(target.life, limit, sent_at, request)
 
 
-def review_rests(targets: Iterable[TargetRow], resting: set[str]) -> None:
-    """Log the rests that are over; `resting` holds the names of those that rest between calls."""
+def log_ended_backoffs(targets: Iterable[TargetRow], resting: set[str]) -> None:
+    """Log ended backoff periods; `resting` has the targets in one and is updated by each call."""
     now = clock.monotonic()
     found = {row.target.name for row in targets if row.availability.is_backing_off(now)}
     for name in sorted(resting - found):
--- a/traystall/passthrough/daemon.py
+++ b/traystall/passthrough/daemon.py
@@ -182,7 +182,7 @@
         self.gateway_context.registry = registry
 
     async def _follow_configuration(self):
-        await self.gateway_context.follower.take_highest()
+        await self.gateway_context.follower.fetch_newest()
         await self.gateway_context.follower.follow_forever()
 
     def _fetch_configuration(self, number, address):
@@ -194,7 +194,7 @@
         """
         if len(self._fetches) >= _MAX_FETCHES:
             return
-        task = asyncio.create_task(self.gateway_context.follower.take_from(address))
+        task = asyncio.create_task(self.gateway_context.follower.fetch_from(address))
         self._fetches.add(task)
         task.add_done_callback(self._fetches.discard)
 
--- a/traystall/passthrough/entry/front.py
+++ b/traystall/passthrough/entry/front.py
@@ -64,7 +64,10 @@
         """
         waiting = [passed for passed in self._running if passed.time_out_now()]
         if waiting:
-            logger.info("unanswered at the end of a stop", extra={"requests": len(waiting)})
+            logger.info(
+                "ending requests without a response at the drain limit",
+                extra={"requests": len(waiting)},
+            )
         return len(waiting)
 
     async def _answer(self, request):
