--- a/tests/gateway/test_breakages.py
+++ b/tests/gateway/test_breakages.py
@@ -1,4 +1,4 @@
-"""Show that the gateway's fault matrix can fail: each deliberate breakage must be caught."""
+"""Mutation tests of the fault matrix: each deliberate breakage must make a case fail."""
 
 import asyncio
 
@@ -15,22 +15,22 @@
 
 
 def retries_whatever_ran(patch):
-    """Work that may not be repeated is tried again after a doubt."""
+    """Work that is not repeatable is retried after an unknown outcome."""
     patch.setattr("traystall.systems.retries.is_safe", lambda kind, repeatable: True)
 
 
 def always_says_not_run(patch):
-    """Every refusal says that nothing ran."""
+    """Every refusal reports that nothing ran."""
     patch.setattr(RequestRow, "run_state", property(lambda self: RunState.NOT_RUN))
 
 
 def attempt_ids_unchecked(patch):
-    """An answer is taken whichever attempt it belongs to."""
+    """A response is accepted even if it belongs to another attempt."""
     patch.setattr(http, "_require_same_attempt", lambda response, call: None)
 
 
 def token_positions_unchecked(patch):
-    """Tokens are appended as they come."""
+    """Tokens are appended in the order of arrival, without a check of their index."""
 
     def take(data, call):
         import json
@@ -44,8 +44,8 @@
     patch.setattr(kinds, "_read_event", take)
 
 
-def cut_stream_is_whole(patch):
-    """A stream that ends without its own end counts as whole."""
+def cut_stream_is_complete(patch):
+    """A stream that ends without its end marker counts as complete."""
     original = kinds._read_tokens
 
     async def read(response, call):
@@ -58,18 +58,18 @@
 
 
 def place_unchecked(patch):
-    """Targets anywhere are candidates."""
+    """Targets in all data centres are candidates."""
     patch.setattr(routing, "candidates", lambda rows, customer, stage, excluded, now: list(rows))
 
 
 def leaving_ignored(patch):
-    """A target that says it is leaving goes on getting work."""
+    """A target that reports it is leaving keeps getting work."""
     patch.setattr("traystall.gateway.stages.apply_presence", lambda target, report: None)
     patch.setattr("traystall.gateway.learning.apply_presence", lambda target, report: None)
 
 
-def claim_not_asked(patch):
-    """Keyed work is dispatched without a claim."""
+def claim_not_requested(patch):
+    """Keyed work is sent without a claim."""
 
     async def claim(self, row, stage):
         return None
@@ -78,7 +78,7 @@
 
 
 def claim_in_doubt_is_won(patch):
-    """A claim whose answer is lost counts as won."""
+    """A claim whose reply is lost counts as won."""
     original = RequestRunner._request_claim
 
     async def ask(self, row, stage):
@@ -94,12 +94,12 @@
 
 
 def doubtful_claim_is_released(patch):
-    """A claim is given back although the work may have run."""
+    """A claim is released although the work may have run."""
     patch.setattr(RequestRow, "may_have_run_since_claim", property(lambda self: False))
 
 
 def sending_not_recorded(patch):
-    """An attempt is not recorded as sent before its first byte leaves."""
+    """An attempt is not recorded as sent before its first byte is sent."""
     patch.setattr(StageRunner, "_on_sending", lambda self, run, target: None)
 
 
@@ -116,11 +116,11 @@
     always_says_not_run: single("closed without an answer", "unkeyed"),
     attempt_ids_unchecked: single("answered for another attempt", "unkeyed", True),
     token_positions_unchecked: matrix.test_resume_on_engines_that_repeat_tokens,
-    cut_stream_is_whole: streamed("stream cut"),
+    cut_stream_is_complete: streamed("stream cut"),
     place_unchecked: single("none", "repeatable"),
     leaving_ignored: single("refused leaving", "repeatable", True),
-    claim_not_asked: single("none", "keyed"),
-    claim_in_doubt_is_won: matrix.test_claim_answer_lost_is_never_dispatched,
+    claim_not_requested: single("none", "keyed"),
+    claim_in_doubt_is_won: matrix.test_work_is_not_sent_after_a_lost_claim_reply,
     doubtful_claim_is_released: single("reset without an answer", "keyed"),
     sending_not_recorded: single("silent", "unkeyed", True),
 }
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -1,4 +1,4 @@
-"""The first revision of a gateway's life: the highest of those that answer, without delay."""
+"""A gateway starts with the newest reachable revision, without waiting for lost sources."""
 
 import asyncio
 
@@ -19,7 +19,7 @@
 
 
 class Links:
-    """Answer each address with a reply, an error, or never."""
+    """For each address, return a reply, raise an error, or never respond."""
 
     def __init__(self, answers):
         self._answers = answers
@@ -83,8 +83,8 @@
     return {"customer/a": str(number).encode(), f"customer/{number}": b"x"}
 
 
-def test_replies_that_cross_leave_what_is_held():
-    """Two control daemons answer for the same base; the second answer comes after the first."""
+def test_second_delta_of_the_same_base_keeps_the_revision():
+    """Two control daemons reply with deltas of the same base; only the first one applies."""
     held = HeldRevision()
     held.take(delta_reply(1, {}, revision(1)))
     first, second = (delta_reply(n, revision(1), revision(n)) for n in (2, 3))
@@ -95,7 +95,7 @@
     assert held.entities == revision(3)
 
 
-def test_delta_that_leads_elsewhere_is_refused_and_a_full_copy_asked_for():
+def test_delta_with_a_wrong_digest_is_refused_and_a_full_copy_requested():
     follower = ConfigurationFollower(Links({}), [], [], GatewayRecord)
     follower.held.take(delta_reply(1, {}, revision(1)))
     wrong = delta_reply(2, revision(1), revision(2))
@@ -106,12 +106,12 @@
     assert follower.held.entities == revision(3)
 
 
-def test_offer_that_leads_on_from_what_is_no_longer_held_is_not_fetched():
-    """Two daemons answer a gateway that starts; the first puts a revision in force."""
+def test_offer_based_on_a_replaced_revision_is_not_fetched():
+    """Two daemons reply to a gateway that starts; the first reply sets the revision in force."""
     follower = ConfigurationFollower(Links({}), [], [], GatewayRecord)
     follower.held.take(delta_reply(1, {}, revision(1)))
     late = delta_reply(2, {}, revision(2))
     late.offer = Offer(digest=b"d", size=100)
-    # To fetch it would fail here: no address has a link.
+    # A fetch would fail, because no address has a link.
     assert not asyncio.run(follower._take_from("a", late))
     assert (follower.held.number, follower.newest_revision) == (1, 1)
--- a/tests/gateway/test_configuration_transfer.py
+++ b/tests/gateway/test_configuration_transfer.py
@@ -1,14 +1,14 @@
-"""How much a gateway takes from a narrow link for a large configuration, and for how long.
+"""The bytes and the time that a gateway needs to get a large configuration over a narrow link.
 
-A configuration of 314 KB was acknowledged, yet stayed away from gateways for 13 s on links of
-5 Mbit/s. Each gateway asked several control daemons at once for the whole of it, with a time-out
-shorter than the transfer took beside other traffic. It threw the late replies away and began anew,
-so the links were full of copies that nobody read, and none of them came into force.
+Guards against transfers that never finish: on links of 5 Mbit/s an acknowledged configuration of
+314 KB did not reach gateways for 13 s. Each gateway requested full copies from several control
+daemons at once, with a timeout that was shorter than the transfer took beside other traffic. It
+discarded the late replies and started again, so the links were full of useless copies.
 
-The bounds here hold on any link: a configuration costs little more than its size once, and is in
-force about as soon as the link can carry it. Each gateway has real control daemons and a link on
-which the transfer takes longer than one call may. Sizes are bytes and times seconds of the link's
-own clock.
+The bounds hold on any link: a configuration costs little more than its size once, and is in force
+about as soon as the link can carry it. Each gateway has real control daemons and a link on which
+the transfer takes longer than the timeout of a call. Sizes are bytes, times are seconds of the
+link's own clock.
 """
 
 import asyncio
@@ -27,31 +27,31 @@
 HOST = "shop.example"
 LINK_BYTES_PER_SECOND = 200_000
 BUSY_SHARE = 0.5
-# What watches and replies without configuration may take, in bytes a second.
-TALK_BYTES_PER_SECOND = 6_000
+# Allowed traffic of watches and of replies without configuration.
+WATCH_BYTES_PER_SECOND = 6_000
 LARGE_ROUTES = 55
 SMALL_ROUTES = 1
 PATH_CHARACTERS = 4_000
-# Characters that may stand in a path and don't repeat in any order: 6.3 of 8 bits each.
+# Characters that are allowed in paths; a random one has 6.3 bits of information in its 8 bits.
 CHARACTERS = string.ascii_letters + string.digits + "-._~!$&'()*+,;=:@"
-# The part of a configuration that has come when something happens to the transfer.
-PART_BEFORE = 0.4
-STILL_SECONDS = 2.0
-# What may come for one whole transfer, in sizes of the configuration: the rest is overhead, or was
-# on its way when the transfer was interrupted.
-WHOLE_SIZES = 1.3
-WHOLE_SIZES_AFTER_INTERRUPTION = 1.2
-# How much longer than its bytes need a transfer may take, as a factor and in seconds.
-SLOWNESS = 1.2
+# The fraction of a configuration that has arrived when the transfer is disturbed.
+FRACTION_BEFORE_FAULT = 0.4
+STALL_SECONDS = 2.0
+# Allowed bytes of a complete transfer as a multiple of the configuration's size. The excess is
+# overhead, or was in flight when the transfer was interrupted.
+MAX_SIZE_RATIO = 1.3
+MAX_SIZE_RATIO_AFTER_INTERRUPTION = 1.2
+# Allowed duration of a transfer: a multiple of what its bytes need, and extra seconds.
+MAX_DURATION_RATIO = 1.2
 NOTICE_SECONDS = 2.0
-# What may pass besides until a gateway goes on after an interruption, in seconds.
+# Extra time for a gateway to resume after an interruption.
 INTERRUPTION_SECONDS = 4.0
-# The longest a case may take on a busy machine, in seconds.
+# Timeout of a case on a busy machine.
 WALL_SECONDS = 60.0
 
 
 def routes(seed, count):
-    """Return entities of so many routes that can hardly be compressed."""
+    """Return entities of `count` routes that can hardly be compressed."""
     source = random.Random(seed)
     rows = {}
     for number in range(count):
@@ -67,12 +67,12 @@
 
 
 def size_of(entities):
-    """Return the bytes of what entities have more than the base."""
+    """Return the size in bytes of the entities that are not in the base."""
     return sum(len(key) + len(value) for key, value in entities.items() if key not in BASE)
 
 
 class Site:
-    """Hold three control daemons, and gateways behind one narrow link."""
+    """Three control daemons, and gateways behind one narrow link."""
 
     def __init__(self, root):
         self.group = ControlGroup(root)
@@ -89,7 +89,7 @@
         await self.apply(1, entities)
 
     async def start_gateway(self):
-        """Start a gateway that knows the control daemons by their relays."""
+        """Start a gateway that reaches the control daemons over the narrow link."""
         gateway = await start_pass_gateway(
             f"gateway-{len(self.gateways)}", self.group.addresses.values()
         )
@@ -103,7 +103,7 @@
         await self.group.until(lambda: all(d.node.state.catalog.number == number for d in daemons))
 
     def held(self):
-        """Return the number of the revision in force at the gateway that started last."""
+        """Return the number of the revision in force at the last started gateway."""
         return self.gateways[-1].gateway_context.follower.held.number
 
     async def stop(self):
@@ -114,7 +114,7 @@
 
 
 class Transfer:
-    """Measure from now on what a revision takes to come into force at the last gateway."""
+    """Measure the bytes and seconds until a revision is in force at the last started gateway."""
 
     def __init__(self, site, number, entities):
         self._site = site
@@ -122,61 +122,61 @@
         self._size = size_of(entities)
         self._began = site.link.seconds
         self._before = dict(site.link.delivered)
-        self._bytes = WHOLE_SIZES * self._size
+        self._bytes = MAX_SIZE_RATIO * self._size
         self._spare_seconds = NOTICE_SECONDS
 
     def delivered(self):
-        """Return the bytes delivered so far, by the daemon that sent them."""
+        """Return the bytes delivered so far from each daemon."""
         counts = self._site.link.delivered
         return {name: counts[name] - self._before.get(name, 0) for name in counts}
 
     def seconds(self):
-        """Return the seconds of the link's clock so far."""
+        """Return the elapsed seconds of the link's clock."""
         return self._site.link.seconds - self._began
 
     async def until_part(self):
-        """Return the daemon that most came from, once a part of the revision has come."""
-        while sum(self.delivered().values()) < PART_BEFORE * self._size:
+        """Wait for a part of the revision; return the daemon that has sent most of it."""
+        while sum(self.delivered().values()) < FRACTION_BEFORE_FAULT * self._size:
             assert self.seconds() < self._limit(), "Too little was delivered."
             await asyncio.sleep(0.01)
         return max(self.delivered(), key=self.delivered().get)
 
     def was_interrupted(self, seconds=0.0):
-        """Allow for a new beginning now, after an interruption that lasted so many seconds."""
+        """Extend the limits for a restart of the transfer, after an interruption of `seconds`."""
         came = sum(self.delivered().values())
-        self._bytes = came + WHOLE_SIZES_AFTER_INTERRUPTION * self._size
+        self._bytes = came + MAX_SIZE_RATIO_AFTER_INTERRUPTION * self._size
         self._spare_seconds += seconds + INTERRUPTION_SECONDS
 
     async def finish(self):
-        """Return once the revision is in force; fail if it takes too long or too much."""
+        """Wait until the revision is in force; fail if it takes too long or too many bytes."""
         limit = self._limit()
         while self._site.held() < self._number and self.seconds() <= limit:
             await asyncio.sleep(0.01)
         seconds = self.seconds()
         came = self.delivered()
-        most = self._bytes + TALK_BYTES_PER_SECOND * seconds
-        told = (
+        most = self._bytes + WATCH_BYTES_PER_SECOND * seconds
+        summary = (
             f"revision {self._site.held()} is in force after {seconds:.1f} s (limit {limit:.1f} s);"
             f" {sum(came.values())} bytes came (limit {most:.0f}) for {self._size}: {came}"
         )
-        print(told)
-        assert self._site.held() >= self._number, told
-        assert sum(came.values()) <= most, told
+        print(summary)
+        assert self._site.held() >= self._number, summary
+        assert sum(came.values()) <= most, summary
 
     def _limit(self):
-        """Return within how many seconds the revision must be in force."""
+        """Return the time limit for the revision to be in force, in seconds."""
         width = self._site.link.free_bytes_per_second
-        return SLOWNESS * self._bytes / width + self._spare_seconds
+        return MAX_DURATION_RATIO * self._bytes / width + self._spare_seconds
 
 
-def play(tmp_path, story):
-    """Run a story on a site of its own."""
+def run_scenario(tmp_path, scenario):
+    """Run a scenario on a new site."""
 
     async def bounded():
         site = Site(tmp_path)
         try:
             async with asyncio.timeout(WALL_SECONDS):
-                await story(site)
+                await scenario(site)
         finally:
             await site.stop()
 
@@ -184,9 +184,9 @@
 
 
 async def change_running_gateway(site, number=2, entities=LARGE):
-    """Let a gateway hold the base, then apply a large change.
+    """Start a gateway with the base configuration, then apply a large change.
 
-    Return the measured transfer of the revision `number`, which may be a later one.
+    Return the transfer that measures the revision `number`, which may be a later one.
     """
     await site.start(BASE)
     await site.start_gateway()
@@ -197,24 +197,24 @@
 
 
 def test_large_change_reaches_a_running_gateway(tmp_path):
-    async def story(site):
+    async def scenario(site):
         transfer = await change_running_gateway(site)
         await transfer.finish()
 
-    play(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_large_configuration_reaches_a_gateway_that_starts(tmp_path):
-    async def story(site):
+    async def scenario(site):
         await site.start(LARGE)
         transfer = Transfer(site, 1, LARGE)
         await site.start_gateway()
         await transfer.finish()
 
-    play(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
-async def fall_silent(site, name):
+async def silence(site, name):
     site.link.silence(name)
 
 
@@ -223,43 +223,43 @@
     await site.group.stop(name)
 
 
-@pytest.mark.parametrize("lose", [fall_silent, stop])
-def test_large_change_goes_on_after_its_source_is_lost(tmp_path, lose):
-    async def story(site):
+@pytest.mark.parametrize("lose", [silence, stop])
+def test_large_change_continues_after_the_loss_of_its_source(tmp_path, lose):
+    async def scenario(site):
         transfer = await change_running_gateway(site)
         await lose(site, await transfer.until_part())
         transfer.was_interrupted()
         await transfer.finish()
 
-    play(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_small_change_during_a_large_one_is_in_force_as_well(tmp_path):
-    async def story(site):
+    async def scenario(site):
         transfer = await change_running_gateway(site, 3, LARGER)
         await transfer.until_part()
         await site.apply(3, LARGER)
         transfer.was_interrupted()
         await transfer.finish()
 
-    play(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
-def test_large_change_survives_a_link_that_stands_still(tmp_path):
-    async def story(site):
+def test_large_change_continues_after_a_stalled_link(tmp_path):
+    async def scenario(site):
         transfer = await change_running_gateway(site)
         await transfer.until_part()
         site.link.stand_still()
-        await asyncio.sleep(STILL_SECONDS)
+        await asyncio.sleep(STALL_SECONDS)
         site.link.go_on()
-        transfer.was_interrupted(STILL_SECONDS)
+        transfer.was_interrupted(STALL_SECONDS)
         await transfer.finish()
 
-    play(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 def test_gateway_that_restarts_leaves_no_copies_on_the_link(tmp_path):
-    async def story(site):
+    async def scenario(site):
         transfer = await change_running_gateway(site)
         await transfer.until_part()
         await site.gateways.pop().stop()
@@ -267,33 +267,33 @@
         transfer.was_interrupted()
         await transfer.finish()
 
-    play(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
-def test_transfer_that_a_registry_told_of_ends_with_its_gateway(tmp_path):
-    """Left running, it opens its link again and takes the width that others need."""
+def test_transfer_after_an_announcement_ends_with_its_gateway(tmp_path):
+    """A transfer left running would reopen its link and use bandwidth that others need."""
 
-    async def story(site):
+    async def scenario(site):
         transfer = await change_running_gateway(site)
         await transfer.until_part()
         gateway = site.gateways.pop()
         for address in site.group.addresses.values():
             gateway._fetch_configuration(2, address)
-        # Until the offers have come, behind which these wait for the transfer that runs.
+        # The offers have arrived once these calls wait for the running transfer.
         lock = gateway.gateway_context.follower._fetcher._lock
         await site.group.until(lambda: len(lock._waiters or ()) >= 2)
         await gateway.stop()
-        # What was on its way when the links were closed.
+        # Bytes in flight when the links were closed may still arrive.
         await asyncio.sleep(0.2)
         before = site.link.delivered.total()
         await asyncio.sleep(1.0)
         assert site.link.delivered.total() == before
 
-    play(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
 async def answer_to(site, path):
-    """Return status, body and Retry-After of a request at the gateway that started last."""
+    """Return the status, body and Retry-After of a request at the last started gateway."""
     address = site.gateways[-1].settings.listen
     async with (
         aiohttp.ClientSession() as session,
@@ -302,12 +302,12 @@
         return response.status, await response.read(), response.headers.get("Retry-After")
 
 
-def test_new_route_is_put_off_and_not_denied_until_its_configuration_has_come(tmp_path):
-    """Meanwhile routes in force are served as before, here by the word that no target is there."""
+def test_new_route_is_a_temporary_error_until_its_configuration_arrives(tmp_path):
+    """The response is "behind" until then and 503 without targets after it, never 404."""
     new = "/new/"
     added = pack(Route("new", HOST, new, (Split("plain"),)))
 
-    async def story(site):
+    async def scenario(site):
         await site.start(BASE)
         await site.start_gateway()
         await site.group.until(lambda: site.held() == 1)
@@ -324,4 +324,4 @@
         assert status == 503 and body != b"behind\n"
         assert (await answer_to(site, "/never/"))[0] == 404
 
-    play(tmp_path, story)
+    run_scenario(tmp_path, scenario)
--- a/tests/gateway/test_directory.py
+++ b/tests/gateway/test_directory.py
@@ -1,4 +1,4 @@
-"""What a gateway lists is what its control daemon lists, however it was told."""
+"""A gateway's directory equals its control daemon's, whatever sequence of replies it got."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 from traystall.rpc.messages import decode, encode
 from traystall.tables.gateways import GATEWAY_TIMEOUT_SECONDS, GatewayRow, GatewayTable
 
-# So few that the random sequences pass them.
+# Limits that are low enough for the random sequences to exceed them.
 _REMEMBERED_DROPS = 3
 _INSTANCES = 5
 _LIVES = 2
@@ -43,7 +43,7 @@
 
 
 class Control:
-    """Answer watches of one table over the wire's encoding."""
+    """Reply to watches of one table, in the wire encoding."""
 
     def __init__(self, now=0.0):
         self.table = GatewayTable(_REMEMBERED_DROPS)
@@ -62,13 +62,13 @@
 
 
 def watch(followed, control, now):
-    """Ask and take the answer; return the reply."""
+    """Send a watch and apply the reply; return it."""
     reply = decode(WatchReply, control.answer(ask(followed), now))
     followed.take(reply, now)
     return reply
 
 
-def test_changes_alone_are_told_and_the_rest_stays_as_it_was():
+def test_only_changes_are_sent_and_other_rows_are_kept():
     control, followed = Control(), FollowedDirectory()
     for name in "abc":
         control.table.put(row(name, started_at=-30.0))
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("field", ["number", "evacuation_version", "seen_at"])
-def test_what_only_ages_is_no_news(field):
+def test_change_of_a_volatile_field_is_not_sent(field):
     control, followed = Control(), FollowedDirectory()
     control.table.put(row("a"))
     watch(followed, control, 0.0)
@@ -94,7 +94,7 @@
     assert reply.directory is None and reply.directory_base is None
 
 
-def test_gateway_that_fell_silent_leaves_the_list():
+def test_gateway_that_timed_out_is_dropped():
     control, followed = Control(), FollowedDirectory()
     control.table.put(row("a"))
     control.table.put(row("b"))
@@ -106,7 +106,7 @@
     assert [r.identity for r in followed.rows] == ["b/1"]
 
 
-def test_other_daemon_tells_the_whole_once():
+def test_other_daemon_sends_a_full_copy_once():
     first, second, followed = Control(), Control(), FollowedDirectory()
     for control in (first, second):
         control.table.put(row("a"))
@@ -120,7 +120,7 @@
     assert essentials(followed.rows) == essentials(second.table.live(0.0))
 
 
-def test_watch_that_timed_out_does_not_make_the_whole_be_sent_again():
+def test_watch_that_timed_out_causes_no_full_copy():
     control, followed = Control(), FollowedDirectory()
     control.table.put(row("a"))
     watch(followed, control, 0.0)
@@ -136,11 +136,11 @@
         lambda reply: setattr(reply, "directory_dropped", []),
         lambda reply: setattr(reply, "directory_changed", []),
         lambda reply: setattr(reply, "directory_base", reply.directory_base - 1),
-        lambda reply: setattr(reply, "directory_epoch", "of another life"),
+        lambda reply: setattr(reply, "directory_epoch", "another epoch"),
         lambda reply: setattr(reply, "directory_check", None),
     ],
 )
-def test_changes_that_do_not_fit_are_refused_and_the_whole_asked_for(spoil):
+def test_inconsistent_changes_are_refused_and_a_full_copy_is_requested(spoil):
     control, followed = Control(), FollowedDirectory()
     control.table.put(row("a"))
     control.table.put(row("b"))
@@ -175,13 +175,13 @@
     st.tuples(st.just("restart the daemon"), st.integers(0, 1)),
     st.tuples(st.just("turn")),
     st.tuples(
-        st.just("forget nothing and ask without"),
+        st.just("request only the revision"),
     ),
 )
 
 
-class Play:
-    """Play one random sequence with two control daemons and one gateway."""
+class Simulation:
+    """Run one random sequence of events with two control daemons and one gateway."""
 
     def __init__(self):
         self.now = 100.0
@@ -191,9 +191,9 @@
         self.replies: list[bytes] = []
         self.is_sure = True
 
-    def play(self, step):
-        act, *words = step
-        getattr(self, "_" + act.replace(" ", "_"))(*words)
+    def run(self, step):
+        action, *arguments = step
+        getattr(self, "_" + action.replace(" ", "_"))(*arguments)
 
     def _put(self, number, life, state, leaving):
         for control in self.controls:
@@ -206,10 +206,10 @@
         self._reply(with_directory=True)
         self.followed.take(decode(WatchReply, self.replies[-1]), self.now)
         if self.is_sure:
-            # Taken in order nothing is refused: what was told is right without the checksum's help.
+            # Replies that arrive in order are correct without the help of the checksum.
             assert self.followed._version == self.controls[self.position % 2].table.version
             self.check()
-        # A reply out of its time may have been refused or taken; from now on all is in order.
+        # An old reply may have been refused or applied; from now on replies arrive in order.
         self.is_sure = True
 
     def _lose_a_reply(self):
@@ -227,7 +227,7 @@
         self.position += 1
         self.followed.switch_source()
 
-    def _forget_nothing_and_ask_without(self):
+    def _request_only_the_revision(self):
         before = list(self.followed.rows)
         reply = decode(WatchReply, self._reply(with_directory=False))
         self.followed.take(reply, self.now)
@@ -240,7 +240,7 @@
         return self.replies[-1]
 
     def check(self):
-        # A row that fell silent meanwhile is told as dropped once the table has dropped it.
+        # A gateway that has timed out is reported as dropped once the table has dropped its row.
         control = self.controls[self.position % 2]
         held = sorted(control.table._rows.values(), key=lambda r: r.identity)
         assert essentials(self.followed.rows) == essentials(held)
@@ -250,18 +250,18 @@
 
 @settings(max_examples=_SEQUENCES, derandomize=True, deadline=None)
 @given(st.lists(_step, min_size=20, max_size=80))
-def test_any_sequence_of_changes_leads_to_what_the_daemon_lists(steps):
-    play = Play()
+def test_any_sequence_leads_to_the_directory_of_the_daemon(steps):
+    simulation = Simulation()
     for step in steps:
-        play.play(step)
-    # Whatever went before, two watches in order are enough.
-    play.play(("watch",))
-    play.play(("watch",))
-    play.check()
+        simulation.run(step)
+    # After any sequence of events two watches are enough.
+    simulation.run(("watch",))
+    simulation.run(("watch",))
+    simulation.check()
 
 
-def test_old_daemon_that_counts_the_same_number_tells_the_whole():
-    """An old daemon compares bare numbers: those of a daemon with a life are not given to it."""
+def test_old_daemon_with_the_same_version_number_sends_a_full_copy():
+    """Old daemons compare versions without an epoch, so they must not get another daemon's."""
     control, old, followed = Control(), OldControl(), FollowedDirectory()
     control.table.put(row("a"))
     watch(followed, control, 0.0)
@@ -279,7 +279,7 @@
     assert essentials(followed.rows) == essentials(control.table.live(0.0))
 
 
-def test_old_gateway_gets_the_whole_from_a_new_daemon_as_before():
+def test_old_gateway_gets_full_copies_from_a_new_daemon():
     control = Control()
     control.table.put(row("a"))
 
@@ -310,7 +310,7 @@
 
 @pytest.mark.parametrize("control", [Control(), OldControl()], ids=["new", "old"])
 def test_revision_is_fetched_without_the_directory(control):
-    """At each new revision every gateway fetches it from whoever tells of it first."""
+    """Each gateway fetches a new revision from the control daemon that announces it first."""
     control.table.put(row("a"))
     link = _Link(control)
     follower = ConfigurationFollower(link, [], [], GatewayRecord)
--- a/tests/gateway/test_dispatch.py
+++ b/tests/gateway/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Slots are never lost, whenever a grant and the end of the wait meet."""
+"""The dispatcher never loses a slot when a grant coincides with a timeout or cancellation."""
 
 import asyncio
 import random
@@ -28,7 +28,7 @@
     return Waiter("r", customer, STAGE, PriorityClass.LONG, latest, latest, frozenset(), 0.0)
 
 
-def test_slot_granted_at_the_moment_of_the_time_out_is_given_back():
+def test_slot_granted_in_the_moment_of_a_timeout_is_returned():
     async def scenario():
         dispatcher, row = make_dispatcher()
         holder = await dispatcher.acquire(make_waiter(1.0))
@@ -36,7 +36,7 @@
         await asyncio.sleep(0)
         loop = asyncio.get_running_loop()
         loop.call_later(0.03, dispatcher.release, holder, PriorityClass.LONG)
-        time.sleep(0.15)  # noqa: ASYNC251 - both timers come due in one turn of the loop.
+        time.sleep(0.15)  # noqa: ASYNC251 - both timers expire in one iteration of the loop.
         outcome = (await asyncio.gather(waiting, return_exceptions=True))[0]
         taken = 0 if isinstance(outcome, TooLateToStart) else 1
         assert row.total_in_flight == taken
@@ -44,7 +44,7 @@
     asyncio.run(scenario())
 
 
-def test_slot_of_a_cancelled_waiter_is_given_back():
+def test_slot_of_a_cancelled_waiter_is_returned():
     async def scenario():
         dispatcher, row = make_dispatcher()
         holder = await dispatcher.acquire(make_waiter(1.0))
@@ -59,7 +59,7 @@
     asyncio.run(scenario())
 
 
-def test_nobody_waits_where_no_target_is_allowed():
+def test_waiter_without_an_allowed_target_is_refused_at_once():
     async def scenario():
         dispatcher, _ = make_dispatcher()
         with pytest.raises(NoCandidate):
--- a/tests/gateway/test_fault_matrix.py
+++ b/tests/gateway/test_fault_matrix.py
@@ -1,8 +1,8 @@
-"""Every fault at each step of an exchange with a target, for every kind of request.
+"""Faults at each step of an exchange with a target, for every kind of request.
 
-Invariants, checked in each cell: the caller gets one whole own answer or one
-typed refusal; "not-run" never follows a run; not-repeatable work runs at most
-once; nothing is seen outside the customer's places.
+Invariants in each cell: the caller gets the complete answer to its own request or one typed
+refusal; work that is reported as "not-run" has not run; work that is not repeatable runs at most
+once; no target outside the customer's data centres gets a request.
 """
 
 import asyncio
@@ -59,14 +59,14 @@
     "wrong count",
     "no end mark",
 )
-# Faults after which the target surely has not run the request.
+# Faults after which the target has certainly not run the request.
 SURELY_NOT_RUN = {"none", "no listener", "refused not run", "refused leaving"}
 KINDS = ("repeatable", "unkeyed", "keyed", "marked")
 RUN_STATES = {"not-run", "may-have-run", "ran"}
 
 
 def check_answer(status, document, mark, runs, repeatable):
-    """Check what must hold of any answer."""
+    """Check the invariants of a response."""
     if status == 200:
         assert document["result"]["echo"] == mark
         assert document["status"] == "complete"
@@ -80,7 +80,7 @@
 
 
 async def run_cell(fault, kind, both):
-    """Run three requests against two targets, one or both of which misbehave at first."""
+    """Run three requests against two targets, one or both of which have a fault at first."""
     first = RawTarget("service", [fault])
     second = RawTarget("service", [fault] if both and fault != "no listener" else [])
     outside = RawTarget("service")
@@ -104,7 +104,7 @@
 
 
 async def check_resend(bench, mark, key, status, document, targets):
-    """A resend never runs the work again, and repeats a whole answer word for word."""
+    """Check that a retry never runs the work again, and gets the same complete answer."""
     before = sum(len(t.runs) for t in targets)
     again, second = await bench.ask(mark, key)
     after = sum(len(t.runs) for t in targets)
@@ -127,7 +127,7 @@
         # Every target is leaving, and none may get new work.
         assert [(d["code"], d["run"]) for _, d in answers] == [("no-target", "not-run")] * 3
     elif fault in SURELY_NOT_RUN or (kind == "repeatable" and not both):
-        # Nothing is in doubt, or running again is safe: everybody must get the whole answer.
+        # The outcome is known, or a retry is safe: every caller must get the complete answer.
         assert [status for status, _ in answers] == [200] * 3, answers
 
 
@@ -154,13 +154,13 @@
                     assert document["count"] == 6
             else:
                 assert document["run"] in RUN_STATES
-                # Only an engine that says nothing may use up the deadline.
+                # Only an engine that sends nothing may use up the deadline.
                 assert fault in ("silent", "stream stalls") or both, document
     assert not targets["pool", ELSEWHERE][0].seen
 
 
 def test_resume_on_engines_that_repeat_tokens():
-    """Both engines cut the stream, then send again what is already held."""
+    """Both engines cut the stream, then repeat tokens that the gateway already has."""
 
     async def scenario():
         script = ["stream cut", "tokens repeated"]
@@ -173,8 +173,8 @@
     asyncio.run(scenario())
 
 
-def test_claim_answer_lost_is_never_dispatched():
-    """The claim is committed but its answer lost: nothing runs, and the key is given back."""
+def test_work_is_not_sent_after_a_lost_claim_reply():
+    """The claim is committed but its reply is lost: nothing runs, and the claim is released."""
 
     async def scenario():
         target = RawTarget("service")
@@ -220,8 +220,8 @@
 
 @pytest.mark.parametrize("alive", [True, False], ids=["alive", "dead"])
 @pytest.mark.parametrize("fault", ["reset without an answer", "closed on accept"])
-def test_doubt_is_settled_by_asking_the_target(fault, alive):
-    """A target that ran the key gives its result; one that does not know it proves nothing."""
+def test_unknown_outcome_is_settled_by_a_lookup_at_the_target(fault, alive):
+    """A target that ran the key returns its result; one that does not know it proves nothing."""
 
     async def scenario():
         target = RawTarget("service", [fault])
@@ -243,8 +243,8 @@
     asyncio.run(scenario())
 
 
-def test_claim_taken_over_from_a_doubt_is_never_given_back():
-    """The work ran, a resend learns so, and then a later stage can't run: no third run."""
+def test_adopted_claim_is_never_released():
+    """The work ran, a retry finds its result, and a later stage can't run: no second run."""
 
     async def scenario():
         target = RawTarget("service", ["reset without an answer"])
@@ -264,7 +264,7 @@
 
 
 def test_claimed_work_is_not_sent_after_its_retention():
-    """The key may be claimed anew after twice the retention: until then all must be sent."""
+    """The key can be claimed again after twice the retention, so no work is sent so late."""
 
     async def scenario():
         target = RawTarget("service")
@@ -279,8 +279,8 @@
     asyncio.run(scenario())
 
 
-def test_frozen_dispatch_is_not_sent_when_it_thaws(monkeypatch):
-    """The process sleeps past the end of its time between choosing a target and sending."""
+def test_work_is_not_sent_after_a_suspension_past_its_deadline(monkeypatch):
+    """The process is suspended past the deadline between choosing a target and sending."""
 
     async def scenario():
         target = RawTarget("service")
@@ -289,7 +289,7 @@
             original = kinds.run
 
             async def frozen(http, call):
-                time.sleep(0.5)  # noqa: ASYNC251 - the whole process stands still.
+                time.sleep(0.5)  # noqa: ASYNC251 - the whole process is suspended.
                 return await original(http, call)
 
             monkeypatch.setattr("traystall.gateway.stages.kinds.run", frozen)
@@ -312,7 +312,7 @@
     asyncio.run(scenario())
 
 
-def test_concurrent_resends_run_once():
+def test_concurrent_retries_run_once():
     async def scenario():
         target = RawTarget("service", ["answered late"])
         stage = service_stage(repeatable=False)
@@ -324,8 +324,8 @@
     asyncio.run(scenario())
 
 
-def test_late_answer_of_claimed_work_waits_for_the_resend():
-    """The caller's deadline passes while the work runs: it goes on, and a resend gets it."""
+def test_late_answer_of_claimed_work_is_kept_for_the_retry():
+    """The deadline passes while the work runs: it continues, and a retry gets the result."""
 
     async def scenario():
         target = RawTarget("service", ["answered late"])
@@ -341,8 +341,8 @@
     asyncio.run(scenario())
 
 
-def test_crossed_requests_each_get_their_own():
-    """Many at once over few targets with faults among them: no answer is another's."""
+def test_concurrent_requests_get_their_own_answers():
+    """Many concurrent requests to few targets with faults: no caller gets another's answer."""
 
     async def scenario():
         faults = ["answered for another attempt", "truncated", "answered twice", "none"] * 5
--- a/tests/gateway/test_front.py
+++ b/tests/gateway/test_front.py
@@ -1,4 +1,4 @@
-"""What the front lets run on after its caller has had an answer."""
+"""Which work the gateway lets finish after the caller has got a response."""
 
 import pytest
 
@@ -16,12 +16,12 @@
 
 
 @pytest.mark.parametrize("sent,not_run", [(0, 0), (1, 1), (3, 3)])
-def test_work_that_may_be_called_not_run_is_cancelled(sent, not_run):
+def test_work_that_was_not_run_is_cancelled(sent, not_run):
     front = Front.__new__(Front)
     assert not front._must_finish(make_row(False, sent, not_run))
 
 
-def test_doubtful_work_is_left_to_finish_only_if_not_repeatable():
+def test_work_that_may_have_run_finishes_only_if_not_repeatable():
     front = Front.__new__(Front)
     assert front._must_finish(make_row(False, 2, 1))
     assert not front._must_finish(make_row(True, 2, 1))
--- a/tests/gateway/test_narrow_link.py
+++ b/tests/gateway/test_narrow_link.py
@@ -1,4 +1,4 @@
-"""The narrow link carries what its width allows, in fair turns, and holds writers up."""
+"""The simulated narrow link limits bandwidth, shares it fairly and applies backpressure."""
 
 import asyncio
 import socket
@@ -15,23 +15,24 @@
 BUSY_SHARE = 0.75
 FREE_BYTES_PER_SECOND = 100_000
 SECONDS = 0.6
-# What one turn hands out more than the width allows, and what comes before the measure, in bytes.
+# Allowed excess: bytes that one round may send above the bandwidth, or that arrive before the
+# measurement.
 TOLERANCE_BYTES = 6_000
-# The buffer in the kernel of one that sends, in bytes; else it would grow to some hundred thousand.
+# Kernel send buffer of a sender; it would grow to hundreds of thousands of bytes otherwise.
 SEND_BUFFER_BYTES = 8 * 1024
-# What a sender may be ahead of its reader: its own buffer and those of the link, in bytes.
-MOST_AHEAD_BYTES = 80_000
-PIECE = b"x" * 4_000
+# Allowed bytes between a sender and its reader: the sender's buffer and those of the link.
+MAX_BUFFERED_BYTES = 80_000
+CHUNK = b"x" * 4_000
 
 
 class Sender:
-    """Stand for a control daemon that sends without end to whoever opens a connection."""
+    """Stand-in for a control daemon that sends endless data on every connection."""
 
     def __init__(self):
         self.sent = 0
 
     async def start(self):
-        """Return the address at which it listens."""
+        """Start to listen; return the address."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         for sock in self._server.sockets:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
@@ -44,15 +45,15 @@
         writer.transport.set_write_buffer_limits(0)
         try:
             while True:
-                writer.write(PIECE)
+                writer.write(CHUNK)
                 await writer.drain()
-                self.sent += len(PIECE)
+                self.sent += len(CHUNK)
         except (OSError, asyncio.CancelledError):
             writer.transport.abort()
 
 
 class Site:
-    """Hold a narrow link, senders behind it, and what readers got from each."""
+    """A narrow link, the senders behind it, and the bytes that readers got from each."""
 
     async def start(self, names, role):
         self.link = NarrowLink(BYTES_PER_SECOND, BUSY_SHARE)
@@ -66,7 +67,7 @@
             await asyncio.sleep(0.01)
 
     async def measure(self):
-        """Return what the readers get while the link's clock runs on, and by how many seconds."""
+        """Return the bytes that readers get in a span of the link's clock, and its seconds."""
         before, began = dict(self.got), self.link.seconds
         while self.link.seconds - began < SECONDS:
             await asyncio.sleep(0.01)
@@ -88,23 +89,23 @@
             self.got[name] += len(data)
 
 
-def play(story, names="ab", role="gateway"):
-    """Run a story on a site of its own."""
+def run_scenario(scenario, names="ab", role="gateway"):
+    """Run a scenario on a new site."""
 
     async def bounded():
         site = Site()
         try:
             async with asyncio.timeout(30):
                 await site.start(names, role)
-                await story(site)
+                await scenario(site)
         finally:
             await site.stop()
 
     asyncio.run(bounded())
 
 
-def test_connections_share_what_other_traffic_leaves_free():
-    async def story(site):
+def test_connections_share_the_free_bandwidth():
+    async def scenario(site):
         got, seconds = await site.measure()
         width = FREE_BYTES_PER_SECOND * seconds
         assert sum(got.values()) == pytest.approx(width, abs=TOLERANCE_BYTES)
@@ -113,52 +114,52 @@
             sum(site.got.values()), abs=TOLERANCE_BYTES
         )
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_writer_is_held_up():
-    async def story(site):
+def test_writer_gets_backpressure():
+    async def scenario(site):
         await site.measure()
         for name, sender in site.senders.items():
-            assert sender.sent - site.got[name] < MOST_AHEAD_BYTES
+            assert sender.sent - site.got[name] < MAX_BUFFERED_BYTES
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_silent_daemon_leaves_the_width_to_the_other():
-    async def story(site):
+def test_silent_daemon_leaves_the_bandwidth_to_the_other():
+    async def scenario(site):
         site.link.silence("a")
         got, seconds = await site.measure()
         assert got["a"] < TOLERANCE_BYTES
         width = FREE_BYTES_PER_SECOND * seconds
         assert got["b"] == pytest.approx(width, abs=TOLERANCE_BYTES)
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_nothing_comes_while_the_link_stands_still():
-    async def story(site):
+def test_nothing_arrives_while_the_link_is_stalled():
+    async def scenario(site):
         site.link.stand_still()
         got, _ = await site.measure()
         assert sum(got.values()) < TOLERANCE_BYTES
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_connections_of_one_daemon_can_be_reset():
-    async def story(site):
+    async def scenario(site):
         site.link.reset("a")
         await asyncio.sleep(0.05)
         got, _ = await site.measure()
         assert got["a"] == 0
         assert got["b"] > 0
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_control_daemons_are_not_held_up():
-    async def story(site):
+def test_links_between_control_daemons_are_not_limited():
+    async def scenario(site):
         got, seconds = await site.measure()
         assert min(got.values()) > 2 * BYTES_PER_SECOND * seconds
 
-    play(story, role="control")
+    run_scenario(scenario, role="control")
--- a/tests/gateway/test_place.py
+++ b/tests/gateway/test_place.py
@@ -1,4 +1,4 @@
-"""A tightened place binds stages not yet started, and drops what is kept."""
+"""A restriction of a customer's data centres applies to later stages and to stored answers."""
 
 import asyncio
 
@@ -13,8 +13,8 @@
     return [service_stage(name="first"), service_stage(repeatable, name="second")]
 
 
-def moved(bench, places):
-    """Put a revision in force in which the customer's places are others."""
+def change_places(bench, places):
+    """Put a revision in force that changes the customer's data centres."""
     customer = Customer("customer", places)
     rows = [row for row in bench.rows if not isinstance(row, Customer)]
     bench.declare([*rows, customer], bench.follower.held.number + 1)
@@ -29,7 +29,7 @@
             asking = asyncio.create_task(bench.ask("mark"))
             while not target.runs:
                 await asyncio.sleep(0.01)
-            moved(bench, places)
+            change_places(bench, places)
             status, document = await asking
             assert (status, document["code"]) == (503, "place-changed")
             assert document["run"] == "may-have-run"
@@ -39,19 +39,19 @@
     asyncio.run(scenario())
 
 
-def test_kept_answers_are_dropped_with_the_place():
+def test_stored_answers_are_dropped_when_the_data_centre_is_excluded():
     async def scenario():
         target = RawTarget("service")
         async with GatewayBench({("pool", PLACE): [target]}, two_stages(False)) as bench:
             assert (await bench.ask("mark", "key"))[0] == 200
             assert len(bench.context.results._rows) == 1
-            moved(bench, (ELSEWHERE,))
+            change_places(bench, (ELSEWHERE,))
             assert len(bench.context.results._rows) == 0
 
     asyncio.run(scenario())
 
 
-def test_target_of_another_place_is_used_only_once_the_place_allows_it():
+def test_target_in_another_data_centre_is_used_only_once_it_is_allowed():
     async def scenario():
         here, there = RawTarget("service"), RawTarget("service")
         targets = {("pool", PLACE): [here], ("pool", ELSEWHERE): [there]}
@@ -59,7 +59,7 @@
             for _ in range(6):
                 assert (await bench.ask("mark"))[0] == 200
             assert not there.seen
-            moved(bench, (PLACE, ELSEWHERE))
+            change_places(bench, (PLACE, ELSEWHERE))
             for _ in range(12):
                 assert (await bench.ask("mark"))[0] == 200
             assert there.seen
--- a/tests/gateway/test_quarantine.py
+++ b/tests/gateway/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Pipelines: a request that ends the targets of its stages is refused, truthfully."""
+"""Pipelines: a request that repeatedly ends the targets of its stages is quarantined."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
 ENDS = "ends its target"
 
 
-def play(story, stage, targets=6, deadline=3.0, place=PLACE):
+def run_scenario(scenario, stage, targets=6, deadline=3.0, place=PLACE):
     async def bounded():
         found = [RawTarget(stage.kind) for _ in range(targets)]
         for target in found:
@@ -27,7 +27,7 @@
             asyncio.timeout(30),
             GatewayBench({("pool", place): found}, [stage], deadline=deadline) as bench,
         ):
-            await story(bench, found)
+            await scenario(bench, found)
 
     asyncio.run(bounded())
 
@@ -50,10 +50,10 @@
     ids=["repeatable", "not repeatable", "engine"],
 )
 def test_request_that_ends_its_targets_is_refused(stage):
-    async def story(bench, targets):
+    async def scenario(bench, targets):
         body = {"prompt": ENDS} if stage.kind == "engine" else {}
         answers = await until_quarantined(bench, **body)
-        # The first arrival may make four attempts, as before; the next one is a trial.
+        # The first request may make up to four attempts; the next one is a trial.
         assert ends(targets) <= 6
         assert all(document["run"] == "may-have-run" for _, document in answers[:-1])
         before = ends(targets)
@@ -63,13 +63,13 @@
         status, _ = await bench.ask("harmless", **({"prompt": "p"} if body else {}))
         assert status == 200
 
-    play(story, stage)
+    run_scenario(scenario, stage)
 
 
 def test_relayed_request_is_refused_by_the_gateway_inside():
-    """The one outside reads no body: it passes the refusal on, and nobody takes it for an end."""
+    """The relaying gateway reads no body; it forwards the refusal and reports no ended target."""
 
-    async def story(inside, targets):
+    async def scenario(inside, targets):
         outside = GatewayBench({}, [service_stage()], Customer("customer", (ELSEWHERE,)))
         inside.context.settings.data_centre = ELSEWHERE
         inside.declare([*inside.rows[:2], outside.customer, *inside.rows[3:]], 2)
@@ -94,11 +94,11 @@
             assert len(outside.leader.table) == 0
             assert len(inside.leader.table) == 1
 
-    play(story, service_stage(), place=ELSEWHERE)
+    run_scenario(scenario, service_stage(), place=ELSEWHERE)
 
 
-def test_whole_answer_clears_a_suspect():
-    async def story(bench, targets):
+def test_complete_answer_clears_a_suspect():
+    async def scenario(bench, targets):
         await bench.ask(ENDS)
         await asyncio.sleep(0.3)
         assert ends(targets) >= 3
@@ -108,11 +108,11 @@
         await asyncio.sleep(0.1)
         assert len(bench.leader.table) == 0
 
-    play(story, service_stage())
+    run_scenario(scenario, service_stage())
 
 
-def test_keyed_work_that_is_refused_gives_its_claim_back():
-    async def story(bench, targets):
+def test_refused_keyed_work_releases_its_claim():
+    async def scenario(bench, targets):
         await until_quarantined(bench)
         status, document = await bench.ask(ENDS, key="k-1")
         assert (status, document["run"]) == (503, "not-run")
@@ -122,4 +122,4 @@
         bench.context.guard.held.__init__()
         assert (await bench.ask(ENDS, key="k-1"))[0] == 200
 
-    play(story, service_stage(repeatable=False))
+    run_scenario(scenario, service_stage(repeatable=False))
--- a/tests/gateway/test_targets_at_rest.py
+++ b/tests/gateway/test_targets_at_rest.py
@@ -1,4 +1,7 @@
-"""Pipelines: a target that asks for rest is left alone, and callers are told when to come back."""
+"""Pipelines: a target that asks for a backoff gets no requests until it ends.
+
+Callers whose requests can't wait that long get a Retry-After.
+"""
 
 import asyncio
 import logging
@@ -16,16 +19,16 @@
 from traystall.tables.availability import MAX_IN_FLIGHT_AFTER_BACKOFF
 from traystall.tables.targets import TargetRow
 
-REST_SECONDS = 2.0
-AT_ONCE_SECONDS = 0.3
+BACKOFF_SECONDS = 2.0
+IMMEDIATE_SECONDS = 0.3
 
 
-def play(story, stage, targets=2, deadline=3.0, lookup=""):
+def run_scenario(scenario, stage, targets=2, deadline=3.0, lookup=""):
     async def bounded():
         found = [RawTarget(stage.kind) for _ in range(targets)]
         bench = GatewayBench({("pool", PLACE): found}, [stage], deadline=deadline, lookup=lookup)
         async with asyncio.timeout(30), bench:
-            await story(bench, found)
+            await scenario(bench, found)
 
     asyncio.run(bounded())
 
@@ -40,8 +43,8 @@
     [service_stage(), service_stage(repeatable=False), engine_stage()],
     ids=["repeatable", "not repeatable", "engine"],
 )
-def test_target_beside_an_idle_one_gets_its_rest(stage, fault):
-    async def story(bench, targets):
+def test_target_beside_an_idle_one_gets_its_backoff(stage, fault):
+    async def scenario(bench, targets):
         for target in targets:
             target.rest = "2"
         targets[0].faults = [fault]
@@ -50,7 +53,7 @@
             await bench.ask("mark", **body)
         began = clock.monotonic()
         seen = len(targets[0].seen)
-        while clock.monotonic() - began < REST_SECONDS - 0.1:
+        while clock.monotonic() - began < BACKOFF_SECONDS - 0.1:
             assert (await bench.ask("mark", **body))[0] == 200
             await asyncio.sleep(0.02)
         assert len(targets[0].seen) == seen
@@ -58,27 +61,27 @@
         await asyncio.gather(*(bench.ask("mark", **body) for _ in range(20)))
         assert len(targets[0].seen) > seen
 
-    play(story, stage)
+    run_scenario(scenario, stage)
 
 
-def test_pool_that_rests_as_a_whole_refuses_at_once():
-    async def story(bench, targets):
+def test_pool_with_all_targets_in_backoff_refuses_immediately():
+    async def scenario(bench, targets):
         for number in range(2):
             row_of(bench, number).availability.request_backoff(5.0 + number, "", clock.monotonic())
         began = clock.monotonic()
         sent = {"Traystall-Customer": "customer"}
         async with bench.session.post(bench.url, json={"input": "mark"}, headers=sent) as response:
             document = await response.json(content_type=None)
-        assert clock.monotonic() - began < AT_ONCE_SECONDS
+        assert clock.monotonic() - began < IMMEDIATE_SECONDS
         assert (response.status, document["run"]) == (503, "not-run")
         assert 5 <= int(response.headers["Retry-After"]) <= 6
         assert targets[0].seen == targets[1].seen == []
 
-    play(story, service_stage())
+    run_scenario(scenario, service_stage())
 
 
-def test_request_that_was_chosen_before_the_word_came_is_held_back(monkeypatch):
-    async def story(bench, targets):
+def test_request_is_held_back_if_the_backoff_starts_after_the_choice(monkeypatch):
+    async def scenario(bench, targets):
         first = row_of(bench, 0)
         row_of(bench, 1).service_ratio = 50.0  # So that the first one is chosen.
         take = TargetRow.take
@@ -96,11 +99,11 @@
         assert bench.context.retry_budget.tokens >= tokens
         assert first.breaker.failures == 0
 
-    play(story, service_stage())
+    run_scenario(scenario, service_stage())
 
 
-def test_rest_outlasts_a_revision_and_a_failure_but_not_the_life():
-    async def story(bench, targets):
+def test_backoff_outlasts_a_revision_but_not_the_incarnation():
+    async def scenario(bench, targets):
         row = row_of(bench, 0)
         row.incarnation = "one"
         row.availability.request_backoff(30.0, "", clock.monotonic())
@@ -110,14 +113,14 @@
         on_report(row, PresenceReport(row.target.name, False, "two", first_hand=True))
         assert not row.availability.is_backing_off(clock.monotonic())
 
-    play(story, service_stage())
+    run_scenario(scenario, service_stage())
 
 
 @pytest.mark.parametrize("leaves", [False, True])
-def test_what_was_asked_outlasts_an_absence(leaves):
-    """An evacuation takes targets away and brings them back."""
+def test_backoff_and_leaving_state_outlast_a_removal(leaves):
+    """An evacuation removes targets and restores them."""
 
-    async def story(bench, targets):
+    async def scenario(bench, targets):
         row = row_of(bench, 0)
         if leaves:
             on_report(row, PresenceReport(row.target.name, True, "one", first_hand=True))
@@ -131,21 +134,21 @@
             assert (await bench.ask("mark"))[0] == 200
         assert targets[0].seen == []
 
-    play(story, service_stage())
+    run_scenario(scenario, service_stage())
 
 
-def test_request_waits_for_a_rest_that_ends_in_time():
-    async def story(bench, targets):
+def test_request_waits_for_a_backoff_that_ends_in_time():
+    async def scenario(bench, targets):
         row_of(bench, 0).availability.request_backoff(0.5, "", clock.monotonic())
         began = clock.monotonic()
         assert (await bench.ask("mark"))[0] == 200
         assert 0.4 < clock.monotonic() - began < 0.9
 
-    play(story, service_stage(), targets=1)
+    run_scenario(scenario, service_stage(), targets=1)
 
 
-def test_few_are_sent_first_after_a_rest():
-    async def story(bench, targets):
+def test_few_requests_are_sent_first_after_a_backoff():
+    async def scenario(bench, targets):
         row = row_of(bench, 0)
         row.share = 20
         targets[0].faults = ["answered late"] * MAX_IN_FLIGHT_AFTER_BACKOFF
@@ -156,11 +159,11 @@
         assert {status for status, _ in await asyncio.gather(*calls)} == {200}
         assert (row.availability.recovery_in_flight, row.availability.is_recovering) == (0, False)
 
-    play(story, service_stage(), targets=1, deadline=6.0)
+    run_scenario(scenario, service_stage(), targets=1, deadline=6.0)
 
 
-def test_shorter_rest_that_is_asked_later_is_waited_for():
-    async def story(bench, targets):
+def test_request_waits_for_a_shorter_backoff_that_starts_later():
+    async def scenario(bench, targets):
         first, second = row_of(bench, 0), row_of(bench, 1)
         first.availability.request_backoff(3.0, "", clock.monotonic())
         second.availability.request_backoff(3.0, "", clock.monotonic())
@@ -173,22 +176,22 @@
         assert {(await call)[0], (await other)[0]} == {200}
         assert clock.monotonic() - began < 1.0
 
-    play(story, service_stage(), deadline=8.0)
+    run_scenario(scenario, service_stage(), deadline=8.0)
 
 
-def test_limit_on_how_often_it_is_asked_is_kept_as_a_rest():
-    async def story(bench, targets):
+def test_status_429_starts_a_backoff():
+    async def scenario(bench, targets):
         row = row_of(bench, 0)
         apply_backoff(row, 429, CIMultiDict({"Retry-After": "31"}))
         assert row.availability.is_backing_off(clock.monotonic() + 30.5)
 
-    play(story, service_stage())
+    run_scenario(scenario, service_stage())
 
 
-def test_end_of_a_rest_is_logged_and_counted(caplog):
+def test_end_of_a_backoff_is_logged_and_counted(caplog):
     caplog.set_level(logging.INFO, DECISION_LOGGER)
 
-    async def story(bench, targets):
+    async def scenario(bench, targets):
         targets[0].rest, targets[0].faults = "0.3", ["rests"]
         call = asyncio.create_task(bench.ask("mark"))
         await asyncio.sleep(0.15)
@@ -198,15 +201,15 @@
         bench.context.tick()
         assert metrics.resting_targets.get({}) == 0
 
-    play(story, service_stage(), targets=1)
+    run_scenario(scenario, service_stage(), targets=1)
     found = [r.getMessage() for r in caplog.records if r.getMessage().startswith("target-")]
     assert found == ["target-rests", "target-rested"]
 
 
-def test_state_that_is_told_ends_no_caution_after_a_rest():
-    """An answer to a question for state shows nothing of the work that the target bears."""
+def test_response_to_a_probe_does_not_end_the_recovery():
+    """A response to a probe is no evidence that the target can process work again."""
 
-    async def story(bench, targets):
+    async def scenario(bench, targets):
         row = row_of(bench, 0)
         row.availability.request_backoff(0.05, "", clock.monotonic())
         await asyncio.sleep(0.1)
@@ -215,11 +218,11 @@
         assert (await bench.ask("mark"))[0] == 200
         assert not row.availability.is_recovering
 
-    play(story, service_stage(), targets=1)
+    run_scenario(scenario, service_stage(), targets=1)
 
 
-def test_look_ups_leave_a_target_at_rest_alone():
-    async def story(bench, targets):
+def test_lookups_skip_a_target_in_backoff():
+    async def scenario(bench, targets):
         for number in range(2):
             row_of(bench, number).availability.request_backoff(30.0, "", clock.monotonic())
         looked = []
@@ -234,4 +237,4 @@
         assert await ResultLookup(bench.context)._ask(target, "k") is None
         assert looked == []
 
-    play(story, service_stage(), lookup="/lookup")
+    run_scenario(scenario, service_stage(), lookup="/lookup")
--- a/tests/gateway/test_targets_that_name_a_limit.py
+++ b/tests/gateway/test_targets_that_name_a_limit.py
@@ -1,9 +1,9 @@
-"""Pipelines: a target that names a limit for all gateways together gets no more than that.
+"""Pipelines: a target that announces a rate limit for all gateways gets no more than that.
 
-An engine behind pass-through gateways said in its answers that it takes one request a second from
-all gateways together, got 2.25 a second as before, and 12 in four seconds where 11 are allowed:
-nobody read the word. The gateway of pipelines has its own way of sending and didn't read it either:
-a target alone got 94 requests in two seconds, one beside an idle one 42, where 8 are allowed.
+Guards against gateways that ignore the announcement. An engine that announced one request a second
+for all gateways still got 2.25 a second from pass-through gateways, and 12 in four seconds where 11
+are allowed. The gateway of pipelines sends requests by its own code: a single target got 94
+requests in two seconds, and one beside an idle target got 42, where 8 are allowed.
 """
 
 import asyncio
@@ -21,12 +21,12 @@
 LEARNED_SECONDS = 0.5
 
 
-def play(story, stage, targets=2, deadline=3.0, lookup=""):
+def run_scenario(scenario, stage, targets=2, deadline=3.0, lookup=""):
     async def bounded():
         found = [RawTarget(stage.kind) for _ in range(targets)]
         bench = GatewayBench({("pool", PLACE): found}, [stage], deadline=deadline, lookup=lookup)
         async with asyncio.timeout(30), bench:
-            await story(bench, found)
+            await scenario(bench, found)
 
     asyncio.run(bounded())
 
@@ -45,8 +45,8 @@
 
 @pytest.mark.parametrize("count", [1, 2])
 @pytest.mark.parametrize("stage", STAGES, ids=["repeatable", "not repeatable", "engine"])
-def test_limited_target_gets_what_it_takes(stage, count):
-    async def story(bench, targets):
+def test_limited_target_gets_no_more_than_its_limit(stage, count):
+    async def scenario(bench, targets):
         targets[0].limit = str(LIMIT)
         body = {"prompt": "p"} if stage.kind == "engine" else {}
         while not targets[0].arrivals:
@@ -57,11 +57,11 @@
         assert 0 < most <= MOST
         assert set(statuses) <= ({200} if count > 1 else {200, 503})
 
-    play(story, stage, targets=count)
+    run_scenario(scenario, stage, targets=count)
 
 
-def test_target_is_used_again_without_a_limit_once_it_names_none():
-    async def story(bench, targets):
+def test_target_is_unlimited_again_once_it_announces_no_limit():
+    async def scenario(bench, targets):
         targets[0].limit = "0.5"
         while not targets[0].arrivals:
             await bench.ask("mark")
@@ -70,11 +70,11 @@
         await press(bench, {}, 3.5)
         assert set(await press(bench, {}, 0.5)) == {200}
 
-    play(story, service_stage(), targets=1)
+    run_scenario(scenario, service_stage(), targets=1)
 
 
-def test_look_ups_count_and_are_left_out():
-    async def story(bench, targets):
+def test_lookups_count_against_the_limit_and_are_skipped():
+    async def scenario(bench, targets):
         targets[0].limit = "0.2"
         await bench.ask("mark", key="k0")
         seen = len(targets[0].arrivals)
@@ -85,4 +85,4 @@
             assert row.limit.is_limited
         assert len(targets[0].arrivals) - seen <= 2
 
-    play(story, service_stage(repeatable=False), targets=1, lookup="/lookup")
+    run_scenario(scenario, service_stage(repeatable=False), targets=1, lookup="/lookup")
--- a/tests/gateway/test_transfer.py
+++ b/tests/gateway/test_transfer.py
@@ -1,4 +1,7 @@
-"""The chunks of one configuration: every fault at every chunk ends in it, or in a clear end."""
+"""Transfers of a configuration in chunks, with every fault at every chunk.
+
+A transfer ends either with the complete configuration or with no result, never with a wrong one.
+"""
 
 import asyncio
 import random
@@ -15,13 +18,13 @@
 
 
 def random_entities(count=35, size=4000):
-    """Return entities of 140 KB that don't shrink when they are packed: some chunks."""
+    """Return entities of 140 KB that can't be compressed, so that they need several chunks."""
     source = random.Random(7)
     return {f"route/{i}": source.randbytes(size) for i in range(count)}
 
 
 class Source:
-    """Answer as a control daemon that holds `entities`; `fault(number of call)` may say how not."""
+    """A control daemon with `entities`; `fault(call number)` may return a fault to inject."""
 
     def __init__(self, entities, fault=lambda call: None):
         self.entities = entities
@@ -54,7 +57,7 @@
 
 
 class Sources:
-    """Stand in for links; each source by its address."""
+    """Stand-in for the link pool: sources by address."""
 
     def __init__(self, **sources):
         self.sources = sources
@@ -64,9 +67,9 @@
 
 
 def fetch(sources, first="a", others=("b",)):
-    """Fetch from `first`, while `others` offer the same or another revision."""
+    """Fetch from `first` while `others` offer the same or another revision."""
 
-    async def play():
+    async def scenario():
         fetcher = CopyFetcher(sources, GatewayRecord)
         reply = sources.link(first).offer()
         running = asyncio.create_task(fetcher.fetch(first, reply))
@@ -78,7 +81,7 @@
         await asyncio.gather(*waiting)
         return await running, fetcher, reply
 
-    return asyncio.run(play())
+    return asyncio.run(scenario())
 
 
 @pytest.fixture(autouse=True)
@@ -97,44 +100,44 @@
     sent = sum(source.sent for source in sources.sources.values())
     assert sent <= reply.offer.size + 2 * 64 * 1024
     if copy is None:
-        # The only source has another revision by now: whoever watches asks it anew.
+        # The only source has another revision now; the next watch requests that one.
         assert fault in ("unknown", "empty") and not others
     else:
         assert copy.puts == entities
 
 
 @pytest.mark.parametrize("fault", ["late", "broken", "unknown"])
-def test_source_that_fails_for_good_ends_in_none_and_what_came_is_kept(fault):
+def test_permanent_failure_returns_none_and_keeps_received_chunks(fault):
     entities = random_entities()
     dead = Source(entities, lambda call: fault if call > 2 else None)
     sources = Sources(a=dead, b=Source(entities))
 
-    async def play():
+    async def scenario():
         fetcher = CopyFetcher(sources, GatewayRecord)
         assert await fetcher.fetch("a", dead.offer()) is None
         assert fetcher.number == 0
         return await fetcher.fetch("b", sources.link("b").offer())
 
-    copy = asyncio.run(play())
+    copy = asyncio.run(scenario())
     assert copy.puts == entities
     assert sources.link("b").sent < dead.offer().offer.size
 
 
-def test_another_revision_is_fetched_from_its_beginning():
+def test_another_revision_is_fetched_from_the_start():
     sources = Sources(
         a=Source(random_entities(), lambda call: "broken" if call > 2 else None),
         b=Source({**random_entities(), "more": b"1"}),
     )
 
-    async def play():
+    async def scenario():
         fetcher = CopyFetcher(sources, GatewayRecord)
         await fetcher.fetch("a", sources.link("a").offer())
         return await fetcher.fetch("b", sources.link("b").offer(2))
 
-    assert asyncio.run(play()).puts["more"] == b"1"
+    assert asyncio.run(scenario()).puts["more"] == b"1"
 
 
-def test_damaged_bytes_are_fetched_anew():
+def test_damaged_bytes_are_fetched_again():
     entities = random_entities()
     source = Source(entities)
     chunk = source.copies.chunk
@@ -147,17 +150,17 @@
     source.copies.chunk = damaged
     sources = Sources(a=source)
 
-    async def play():
+    async def scenario():
         fetcher = CopyFetcher(sources, GatewayRecord)
         assert await fetcher.fetch("a", source.offer()) is None
         source.copies.chunk = chunk
         return await fetcher.fetch("a", source.offer())
 
-    assert asyncio.run(play()).puts == entities
+    assert asyncio.run(scenario()).puts == entities
 
 
 def test_one_transfer_at_a_time_and_a_second_source_takes_over():
-    """The first source falls silent; the one that was heard of meanwhile goes on from there."""
+    """The first source stops responding; a source added meanwhile continues from that offset."""
     entities = random_entities()
     silent = Source(entities)
     answer = silent.call
@@ -171,19 +174,19 @@
     silent.call = call
     sources = Sources(a=silent, b=Source(entities))
 
-    async def play():
+    async def scenario():
         fetcher = CopyFetcher(sources, GatewayRecord)
         first = asyncio.create_task(fetcher.fetch("a", silent.offer()))
         await asyncio.sleep(0.02)
         second = await fetcher.fetch("b", sources.link("b").offer())
         return await first, second
 
-    first, second = asyncio.run(play())
+    first, second = asyncio.run(scenario())
     assert first.puts == entities and second is None
     assert silent.sent + sources.link("b").sent <= silent.offer().offer.size + 64 * 1024
 
 
-def test_one_late_chunk_and_daemons_that_lag_do_not_end_a_transfer():
+def test_one_late_chunk_and_lagging_daemons_do_not_end_a_transfer():
     entities = random_entities()
     sources = Sources(a=Source(entities, lambda call: "late" if call == 2 else None))
     for name in "bcd":
--- a/tests/gateway/test_transfer_liveness.py
+++ b/tests/gateway/test_transfer_liveness.py
@@ -1,7 +1,8 @@
-"""A gateway that fetches a large configuration slowly must not fall out of the directory.
+"""A slow transfer of a large configuration must not remove a gateway from the directory.
 
-While it fetched, no watch went out: it was silent for 7.5 of 7.6 s, and gateways that are silent
-for 5 s are dropped, with what they batch and place.
+No watch is sent during a transfer. Without a record of the gateway in the chunk requests it is
+silent for 7.5 of 7.6 s. Gateways that are silent for 5 s are dropped, with the batching and
+placement that they do.
 """
 
 import asyncio
@@ -11,12 +12,12 @@
 from traystall.rpc.gen.wire.ttypes import GatewayRecord, TransferRequest, WatchRequest
 from traystall.tables.gateways import GATEWAY_TIMEOUT_SECONDS
 
-# One chunk takes so long, in seconds: a narrow link beside traffic.
+# Duration of one chunk, as on a narrow link with other traffic.
 CHUNK_SECONDS = 0.5
 
 
 class Daemon:
-    """A control daemon that answers watches at once and chunks slowly."""
+    """A control daemon that replies to watches at once and to chunk requests slowly."""
 
     def __init__(self, source, seen):
         self.source, self.seen = source, seen
@@ -35,7 +36,7 @@
         return self.source.copies.chunk(request)
 
 
-def test_gateway_is_heard_of_while_it_fetches():
+def test_gateway_reports_itself_during_a_transfer():
     entities = random_entities(60)
     seen = []
     daemons = {name: Daemon(Source(entities), seen) for name in ("a", "b")}
@@ -44,12 +45,12 @@
         def link(self, address):
             return daemons[address]
 
-    async def play():
+    async def scenario():
         follower = ConfigurationFollower(
             Links(), ["a", "b"], [], lambda: GatewayRecord(identity="g", number=0)
         )
         following = asyncio.create_task(follower.follow_forever())
-        # As PassGateway does on each word of a registry: two at a time at the most.
+        # As PassGateway does for each announcement of a registry: at most two at a time.
         running = set()
         began = asyncio.get_running_loop().time()
         while not follower.held.number:
@@ -63,5 +64,5 @@
         gaps = [b - a for a, b in zip(seen, [*seen[1:], ended], strict=True) if b <= ended]
         return ended - began, max(gaps)
 
-    seconds, silent = asyncio.run(play())
+    seconds, silent = asyncio.run(scenario())
     assert silent < GATEWAY_TIMEOUT_SECONDS, f"silent for {silent:.1f} of {seconds:.1f} s"
--- a/traystall/gateway/stages.py
+++ b/traystall/gateway/stages.py
@@ -134,7 +134,7 @@
         return frozenset(run.excluded)
 
     def require_residency(self, row):
-        """Return the customer of the newest revision; refuse if it no longer allows this place."""
+        """Return the customer of the newest revision; refuse if it excludes this data centre."""
         customer = self._context.tables.customer(row.customer)
         if customer is None or not is_allowed(customer, self._context.data_centre):
             raise Refusal(problems.PLACE_CHANGED, "The places were changed while it waited.")
