--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -100,9 +100,9 @@
     follower.held.take(delta_reply(1, {}, revision(1)))
     wrong = delta_reply(2, revision(1), revision(2))
     wrong.puts = {"customer/a": b"another"}
-    assert not follower._take(wrong)
+    assert not follower._apply_reply(wrong)
     assert follower.held.digest == EMPTY_DIGEST
-    assert follower._take(delta_reply(3, {}, revision(3)))
+    assert follower._apply_reply(delta_reply(3, {}, revision(3)))
     assert follower.held.entities == revision(3)
 
 
@@ -113,5 +113,5 @@
     late = delta_reply(2, {}, revision(2))
     late.offer = Offer(digest=b"d", size=100)
     # A fetch would fail, because no address has a link.
-    assert not asyncio.run(follower._take_from("a", late))
+    assert not asyncio.run(follower._apply_or_fetch("a", late))
     assert (follower.held.number, follower.newest_revision) == (1, 1)
--- a/tests/gateway/test_targets_at_rest.py
+++ b/tests/gateway/test_targets_at_rest.py
@@ -234,7 +234,7 @@
 
         bench.context.http.get_json = counted
         target = row_of(bench, 0).target
-        assert await ResultLookup(bench.context)._ask(target, "k") is None
+        assert await ResultLookup(bench.context)._query(target, "k") is None
         assert looked == []
 
     run_scenario(scenario, service_stage(), lookup="/lookup")
--- a/traystall/gateway/allowances.py
+++ b/traystall/gateway/allowances.py
@@ -38,9 +38,9 @@
         seconds = envelope.deadline_seconds
         if envelope.key and not envelope.pipeline.repeatable:
             seconds += LINGER_SECONDS
-        verdict = self._try(customer, seconds)
+        verdict = self._try_admit(customer, seconds)
         if not verdict.within and await self._borrow(customer):
-            verdict = self._try(customer, seconds)
+            verdict = self._try_admit(customer, seconds)
         if not verdict.within:
             after = admission.retry_after_seconds(verdict.retry_after)
             raise Refusal(problems.OVER_LIMIT, verdict.why, after)
@@ -53,7 +53,7 @@
         index, count = self._position(customer)
         return self._context.limiter.grant(customer, index, count, clock.monotonic(), wanted)
 
-    def _try(self, customer, seconds):
+    def _try_admit(self, customer, seconds):
         index, count = self._position(customer)
         return self._context.limiter.admit(customer, index, count, clock.monotonic(), seconds)
 
@@ -72,7 +72,7 @@
             return False
         self._last_borrow_at[customer.name] = now
         for neighbour in self._local_peers():
-            loan, asked_at = await self._ask(neighbour, customer)
+            loan, asked_at = await self._request_loan(neighbour, customer)
             if loan.tokens or loan.permits:
                 self._context.limiter.borrow(customer.name, loan, asked_at)
                 decision(
@@ -95,7 +95,7 @@
         context.random.shuffle(found)
         return found
 
-    async def _ask(self, neighbour, customer):
+    async def _request_loan(self, neighbour, customer):
         asked_at = clock.monotonic()
         request = BorrowRequest(
             customer=customer.name, tokens=_TOKENS_WANTED, permits=_PERMITS_WANTED
--- a/traystall/gateway/configuration.py
+++ b/traystall/gateway/configuration.py
@@ -125,7 +125,7 @@
         has replied, the other sources are not awaited, since some may be unreachable.
         """
         sources = [*self._controls, *self._neighbours]
-        tasks = [asyncio.create_task(self._ask_for_revision(address)) for address in sources]
+        tasks = [asyncio.create_task(self._request_revision(address)) for address in sources]
         usable = []
         try:
             for completed in asyncio.as_completed(tasks):
@@ -139,7 +139,7 @@
             for task in tasks:
                 task.cancel()
         for address, reply in sorted(usable, key=lambda pair: pair[1].number, reverse=True):
-            if await self._take_from(address, reply):
+            if await self._apply_or_fetch(address, reply):
                 return
 
     async def follow_forever(self) -> None:
@@ -149,9 +149,9 @@
             address = self._first_responder or self._controls[position % len(self._controls)]
             self._first_responder = ""
             before = self.held.number
-            reply = await self._ask(address, _WATCH_TIMEOUT_SECONDS)
+            reply = await self._watch(address, _WATCH_TIMEOUT_SECONDS)
             if reply is not None:
-                await self._take_from(address, reply)
+                await self._apply_or_fetch(address, reply)
             if reply is None or not reply.fresh or self._made_no_progress(before, reply):
                 position += 1
                 self._directory.switch_source()
@@ -161,9 +161,9 @@
 
     async def fetch_from(self, address: str) -> None:
         """Fetch the revision of a control daemon that has announced a newer one."""
-        _, reply = await self._ask_for_revision(address)
+        _, reply = await self._request_revision(address)
         if reply is not None:
-            await self._take_from(address, reply)
+            await self._apply_or_fetch(address, reply)
 
     def answer_watch(self, request: WatchRequest) -> WatchReply:
         """Return this gateway's revision to another gateway that starts."""
@@ -199,19 +199,19 @@
         """
         return reply.number == self.held.number and self.held.digest != reply.digest
 
-    async def _ask_for_revision(self, address):
+    async def _request_revision(self, address):
         """Request the revision without the directory; return the address with the reply.
 
         Only the watched control daemon sends the directory: for 195 gateways it has 25 KB, which
         every daemon would send.
         """
-        reply = await self._ask(address, _FIRST_TIMEOUT_SECONDS, with_directory=False)
+        reply = await self._watch(address, _FIRST_TIMEOUT_SECONDS, with_directory=False)
         if reply is not None:
             # Old daemons always send the directory; its versions differ from the watched daemon's.
             reply.directory = None
         return address, reply
 
-    async def _ask(self, address, timeout, with_directory=True):
+    async def _watch(self, address, timeout, with_directory=True):
         request = WatchRequest(
             gateway=self._describe(),
             digest=self.held.digest,
@@ -225,10 +225,10 @@
             logger.info("watch failed", extra={"peer": address, "why": str(error)})
             return None
 
-    async def _take_from(self, address, reply) -> bool:
+    async def _apply_or_fetch(self, address, reply) -> bool:
         """Apply a reply, and fetch a revision that it offers; return whether it changed here."""
         if reply.offer is None:
-            return self._take(reply)
+            return self._apply_reply(reply)
         self._apply_metadata(reply)
         if reply.number <= self.held.number or self.held.is_outdated(reply):
             return False
@@ -236,14 +236,14 @@
         if copy is None:
             return False
         fill_reply(reply, copy)
-        return self._take_revision(reply)
+        return self._apply_revision(reply)
 
-    def _take(self, reply) -> bool:
+    def _apply_reply(self, reply) -> bool:
         self._apply_metadata(reply)
         if (reply.number or 0) < self._fetcher.number:
             # A lagging daemon. Applying its delta would change the base of the running transfer.
             return False
-        return self._take_revision(reply)
+        return self._apply_revision(reply)
 
     def _apply_metadata(self, reply):
         """Apply the directory, suspects and evacuations of a reply."""
@@ -252,7 +252,7 @@
         if self.evacuations.take(reply.evacuated) or has_directory_changed:
             self._notify()
 
-    def _take_revision(self, reply) -> bool:
+    def _apply_revision(self, reply) -> bool:
         try:
             has_changed = self.held.take(reply)
         except DeltaMismatch as error:
--- a/traystall/gateway/context.py
+++ b/traystall/gateway/context.py
@@ -77,7 +77,7 @@
             if pipeline.priority is PriorityClass.QUICK
             for stage in pipeline.stages
         }
-        self.results.purge(self._may_keep)
+        self.results.purge(self._may_store)
         self._apply_leaving_targets()
         self._update_shares()
         self.dispatcher.assign_all()
@@ -115,7 +115,7 @@
         evacuated = self.follower.evacuations.places.data_centres
         return [t for t in self.tables.targets() if t.data_centre not in evacuated]
 
-    def _may_keep(self, name):
+    def _may_store(self, name):
         customer = self.tables.customer(name)
         return customer is not None and is_allowed(customer, self.data_centre)
 
--- a/traystall/gateway/directory.py
+++ b/traystall/gateway/directory.py
@@ -48,30 +48,30 @@
         """Apply a reply; return whether a field changed that decisions depend on."""
         before = _decision_fields(self.rows)
         if reply.directory is not None and reply.directory_version:
-            self._keep(reply, _rows(reply.directory, now))
+            self._replace(reply, _rows(reply.directory, now))
         elif reply.directory_base is not None:
-            self._take_changes(reply, now)
+            self._apply_changes(reply, now)
         return before != _decision_fields(self.rows)
 
-    def _take_changes(self, reply, now):
+    def _apply_changes(self, reply, now):
         if (reply.directory_epoch, reply.directory_base) != (self._epoch, self._version):
-            self._refuse("changes are based on another version")
+            self._reject("changes are based on another version")
             return
         rows = {row.identity: row for row in self.rows}
         for identity in reply.directory_dropped or ():
             rows.pop(identity, None)
         rows.update((row.identity, row) for row in _rows(reply.directory_changed or (), now))
         if directory_check(rows.values()) != reply.directory_check:
-            self._refuse("checksum mismatch after changes")
+            self._reject("checksum mismatch after changes")
             return
-        self._keep(reply, rows.values())
+        self._replace(reply, rows.values())
 
-    def _keep(self, reply, rows):
+    def _replace(self, reply, rows):
         self.rows = sorted(rows, key=lambda row: row.identity)
         self._epoch = reply.directory_epoch or ""
         self._version = reply.directory_version
 
-    def _refuse(self, why):
+    def _reject(self, why):
         logger.warning("directory refused", extra={"why": why})
         self._forget_base()
 
--- a/traystall/gateway/lookups.py
+++ b/traystall/gateway/lookups.py
@@ -35,10 +35,10 @@
             for target in self._context.tables.pool(stage.pool)
             if target.lookup and is_allowed(customer, target.data_centre)
         ]
-        answers = await asyncio.gather(*(self._ask(target, row.key) for target in targets))
+        answers = await asyncio.gather(*(self._query(target, row.key) for target in targets))
         return next((answer for answer in answers if answer is not None), None)
 
-    async def _ask(self, target, key):
+    async def _query(self, target, key):
         row = self._context.targets.get(target.name)
         if row is not None and row.availability.is_backing_off(clock.monotonic()):
             return None
--- a/traystall/gateway/relay.py
+++ b/traystall/gateway/relay.py
@@ -58,12 +58,12 @@
             self._context.random,
         )
         for gateway in inside:
-            response = await self._try(request, envelope, gateway)
+            response = await self._forward_to(request, envelope, gateway)
             if response is not None:
                 return response
         raise Refusal(problems.OUT_OF_PLACE, "Try again shortly.", 2)
 
-    async def _try(self, request, envelope, gateway):
+    async def _forward_to(self, request, envelope, gateway):
         """Return the response, or None if no connection to the gateway could be established."""
         decision(
             "relay",
--- a/traystall/gateway/results.py
+++ b/traystall/gateway/results.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-MAX_KEPT_BYTES = 64 * 1024 * 1024
+MAX_STORED_BYTES = 64 * 1024 * 1024
 
 
-class KeptResult(msgspec.Struct):
+class StoredResult(msgspec.Struct):
     """A stored answer; `expires_at` is monotonic seconds."""
 
     customer: str
@@ -19,15 +19,15 @@
     """Store answers by claim id; the oldest are evicted when the size limit is exceeded."""
 
     def __init__(self):
-        self._rows: OrderedDict[str, KeptResult] = OrderedDict()
+        self._rows: OrderedDict[str, StoredResult] = OrderedDict()
         self._bytes = 0
 
     def put(self, claim_id: str, customer: str, data: bytes, retention: float, now: float) -> None:
         """Store an answer for at most `retention` seconds."""
         self._drop(claim_id)
-        self._rows[claim_id] = KeptResult(customer, data, now + retention)
+        self._rows[claim_id] = StoredResult(customer, data, now + retention)
         self._bytes += len(data)
-        while self._bytes > MAX_KEPT_BYTES:
+        while self._bytes > MAX_STORED_BYTES:
             self._drop(next(iter(self._rows)))
 
     def get(self, claim_id: str, customer: str, now: float) -> bytes | None:
@@ -40,10 +40,10 @@
             return None
         return row.data
 
-    def purge(self, may_keep) -> None:
+    def purge(self, may_store) -> None:
         """Drop the answers of all customers for whom `may_keep(customer)` is false."""
         for claim_id, row in list(self._rows.items()):
-            if not may_keep(row.customer):
+            if not may_store(row.customer):
                 self._drop(claim_id)
 
     def _drop(self, claim_id):
--- a/traystall/passthrough/entry/messages.py
+++ b/traystall/passthrough/entry/messages.py
@@ -50,9 +50,14 @@
 
     def __init__(self, request: CallerRequest, names: HeaderNames):
         self._request = request
-        own = [names.customer, names.expected_incarnation, names.deadline_ms, names.inputs]
-        dropped = {name.lower().encode() for name in (*own, *names.gateway_only)}
-        self._kept = _end_to_end(request.headers, dropped, names.key_scheme)
+        gateway_headers = [
+            names.customer,
+            names.expected_incarnation,
+            names.deadline_ms,
+            names.inputs,
+        ]
+        dropped = {name.lower().encode() for name in (*gateway_headers, *names.gateway_only)}
+        self._forwarded = _end_to_end(request.headers, dropped, names.key_scheme)
 
     def write(self, extra: dict[str, str]) -> bytes:
         """Return the encoded request; headers in `extra` are added or replace the caller's."""
@@ -60,7 +65,7 @@
         replaced = {name.lower().encode() for name in extra}
         lines = [f"{request.method} {request.target} HTTP/1.1".encode("utf-8", "surrogateescape")]
         lines += [
-            name + b": " + value for name, value in self._kept if name.lower() not in replaced
+            name + b": " + value for name, value in self._forwarded if name.lower() not in replaced
         ]
         lines += [f"{name}: {value}".encode("latin-1") for name, value in extra.items()]
         if request.body or request.method in _BODY_METHODS:
@@ -69,20 +74,20 @@
 
 
 def _end_to_end(headers, dropped, key_scheme):
-    named = set()
+    connection_headers = set()
     for name, value in headers:
         if name.lower() == b"connection":
-            named |= {word.strip().lower() for word in value.split(b",")}
+            connection_headers |= {word.strip().lower() for word in value.split(b",")}
     scheme = key_scheme.lower().encode() + b" "
-    kept = []
+    forwarded = []
     for name, value in headers:
         lowered = name.lower()
-        if lowered in _HOP_BY_HOP or lowered in named or lowered in dropped:
+        if lowered in _HOP_BY_HOP or lowered in connection_headers or lowered in dropped:
             continue
         if lowered == b"authorization" and value.lower().startswith(scheme):
             continue  # Targets must not see customers' keys.
-        kept.append((name, value))
-    return kept
+        forwarded.append((name, value))
+    return forwarded
 
 
 def answer_headers(head: ResponseHead) -> list[Header]:
