--- a/traystall/gateway/runner.py
+++ b/traystall/gateway/runner.py
@@ -159,7 +159,7 @@
         return row.deadline - clock.monotonic()
 
     async def _find_result(self, row, stage, reply) -> dict | None:
-        """Look for the result of an unsettled claim at the targets, which know their keys.
+        """Look for the result of an unsettled claim at targets that support key lookups.
 
         A result found there is the result of the claimed work. A target that does not know the
         key proves nothing: the request may still be on its way.
--- a/traystall/passthrough/context.py
+++ b/traystall/passthrough/context.py
@@ -44,7 +44,7 @@
 
 
 class PassContext:
-    """Hold the state of one pass-through gateway."""
+    """State of one pass-through gateway."""
 
     def __init__(
         self,
