--- a/tests/gateway/test_directory.py
+++ b/tests/gateway/test_directory.py
@@ -180,7 +180,7 @@
 )
 
 
-class Simulation:
+class Play:
     """Run one random sequence of events with two control daemons and one gateway."""
 
     def __init__(self):
@@ -191,7 +191,7 @@
         self.replies: list[bytes] = []
         self.is_sure = True
 
-    def run(self, step):
+    def play(self, step):
         action, *arguments = step
         getattr(self, "_" + action.replace(" ", "_"))(*arguments)
 
@@ -250,14 +250,36 @@
 
 @settings(max_examples=_SEQUENCES, derandomize=True, deadline=None)
 @given(st.lists(_step, min_size=20, max_size=80))
-def test_any_sequence_leads_to_the_directory_of_the_daemon(steps):
-    simulation = Simulation()
+def test_any_sequence_of_changes_leads_to_what_the_daemon_lists(steps):
+    play = Play()
     for step in steps:
-        simulation.run(step)
-    # After any sequence of events two watches are enough.
-    simulation.run(("watch",))
-    simulation.run(("watch",))
-    simulation.check()
+        play.play(step)
+    # Whatever went before, two watches in order are enough.
+    play.play(("watch",))
+    play.play(("watch",))
+    play.check()
+
+
+def test_started_at_does_not_depend_on_the_delay_of_a_reply():
+    """A reply that arrives late must not change the start times of the gateways in it."""
+    play = Play()
+    put = ("put", 0, 1, "serving", ())
+    late_reply = [
+        *[put] * 8,
+        ("watch",),
+        *[put] * 4,
+        ("wait", 0.3),
+        ("put", 1, 1, "serving", ()),
+        ("lose a reply",),
+        ("wait", 0.3),
+        *[put] * 2,
+        ("take an old reply", 0),
+    ]
+    for step in late_reply:
+        play.play(step)
+    play.play(("watch",))
+    play.play(("watch",))
+    play.check()
 
 
 def test_old_daemon_with_the_same_version_number_sends_a_full_copy():
