--- a/traystall/passthrough/__init__.py
+++ b/traystall/passthrough/__init__.py
@@ -1,1 +1,1 @@
-"""Pass requests through to targets unchanged, with their stages run before."""
+"""A gateway that runs the stages of a request and then forwards it unchanged to a target."""
