--- a/tests/conf/test_settings.py
+++ b/tests/conf/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: flags before variables, every problem at once, unknown ones refused."""
+"""Flags override environment variables, problems are reported together, unknown names rejected."""
 
 import pytest
 
@@ -38,7 +38,7 @@
     return sorted(problem.id for problem in error.value.problems)
 
 
-def test_flags_go_before_variables_and_sources_are_told(capsys):
+def test_flags_override_variables_and_sources_are_shown(capsys):
     environ = {"TRAYSTALL_INDEX": "2", "TRAYSTALL_DRAIN_NOTICE": "7", "TRAYSTALL_SECRET": "hush"}
     settings = gateway("--index=1", environ=environ)
     assert (settings.index, settings.drain_notice) == (1, 7.0)
@@ -104,11 +104,11 @@
 
 
 @pytest.mark.parametrize("size", ["-1", "inf", "nan"])
-def test_a_size_that_is_none_is_refused(size):
+def test_invalid_size_is_rejected(size):
     with pytest.raises(SettingsError) as error:
         load("pass", PASS, [check_pass], [*PASS_FLAGS, f"--size={size}"], {})
     assert ids(error) == ["settings.E032"]
 
 
-def test_a_gateway_that_names_no_size_says_none():
+def test_size_defaults_to_zero():
     assert load("pass", PASS, [check_pass], [*PASS_FLAGS], {}).size == 0.0
--- a/tests/core/test_log_writer.py
+++ b/tests/core/test_log_writer.py
@@ -1,4 +1,4 @@
-"""Log lines: whole, in order, bounded, and never a reason to stop."""
+"""Log lines are written whole and in order, use bounded memory and never block the daemon."""
 
 import json
 import logging
@@ -10,20 +10,20 @@
 from pythonjsonlogger.json import JsonFormatter
 
 from traystall.core.log_writer import (
-    LEFT_OUT,
-    MAX_WAITING_BYTES,
+    DROPPED_LINES_EVENT,
+    MAX_PENDING_BYTES,
     BackgroundHandler,
     LineBudget,
 )
 
 
-def test_budget_of_each_message_is_its_own():
+def test_each_message_has_its_own_rate_limit():
     budget = LineBudget(lines_per_second=2)
     assert [budget.allows("often", 0.0) for _ in range(4)] == [True, True, False, False]
     assert budget.allows("seldom", 0.5)
     assert budget.allows("often", 1.0), "a new second begins"
-    assert budget.take_left_out() == {"often": 2}
-    assert budget.take_left_out() == {}
+    assert budget.take_dropped_counts() == {"often": 2}
+    assert budget.take_dropped_counts() == {}
 
 
 def handler_on(descriptor, budget=None):
@@ -39,7 +39,7 @@
         return [json.loads(line) for line in file.read().splitlines()]
 
 
-def test_lines_come_whole_and_in_order():
+def test_lines_are_written_whole_and_in_order():
     reader, writer = os.pipe()
     handler, logger = handler_on(writer)
     found = []
@@ -53,27 +53,29 @@
     assert [line["number"] for line in found] == list(range(400))
 
 
-def test_pipe_that_nobody_reads_stops_nobody_and_what_is_left_out_is_said():
+def test_unread_pipe_does_not_block_and_dropped_lines_are_counted():
     reader, writer = os.pipe()
     handler, logger = handler_on(writer, LineBudget(10**9))
     text = "x" * 1000
-    lines = 4 * MAX_WAITING_BYTES // len(text)
+    lines = 4 * MAX_PENDING_BYTES // len(text)
     for number in range(lines):
         logger.info("line", extra={"number": number, "text": text})
     found = []
     thread = threading.Thread(target=lambda: found.extend(read_all(reader)))
     thread.start()
-    while handler._waiting:
+    while handler._pending:
         handler.flush()
     logger.info("last")
-    while not handler._written.is_set():
+    while not handler._all_written.is_set():
         handler.flush()
     os.close(writer)
     thread.join()
-    said = sum(line["counts"]["line"] for line in found if line["message"] == LEFT_OUT)
+    dropped = sum(
+        line["counts"]["line"] for line in found if line["message"] == DROPPED_LINES_EVENT
+    )
     written = [line["number"] for line in found if line["message"] == "line"]
-    assert said > 0
-    assert said + len(written) == lines
+    assert dropped > 0
+    assert dropped + len(written) == lines
     assert written == sorted(written)
     assert found[-1]["message"] == "last"
 
@@ -88,7 +90,7 @@
 """
 
 
-def test_daemon_with_a_full_standard_error_goes_on_and_ends(tmp_path):
+def test_daemon_with_a_full_standard_error_pipe_runs_to_its_end(tmp_path):
     path = tmp_path / "done"
     process = subprocess.Popen(
         [sys.executable, "-c", _ENDLESS.replace("PATH", repr(str(path)))], stderr=subprocess.PIPE
@@ -100,7 +102,7 @@
         process.stderr.close()
 
 
-def test_lines_are_not_lost_at_an_orderly_end():
+def test_normal_exit_loses_no_lines():
     code = "from traystall.core import logs; logs.configure('info', 'i', 'd'); logs.decision('end')"
     found = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, timeout=60, check=True
--- a/traystall/conf/checks.py
+++ b/traystall/conf/checks.py
@@ -1,4 +1,4 @@
-"""System checks: each names the wrong setting, its remedy and a stable id."""
+"""Checks of settings; each problem has a stable id, a message and a remedy."""
 
 import ipaddress
 
@@ -6,7 +6,7 @@
 
 
 class Problem(msgspec.Struct, frozen=True):
-    """Describe one thing that is wrong and how to put it right."""
+    """Describe one invalid value and how to correct it."""
 
     id: str
     message: str
--- a/traystall/conf/settings.py
+++ b/traystall/conf/settings.py
@@ -38,7 +38,7 @@
 
 
 class Settings:
-    """Hold validated values as attributes, and where each one came from."""
+    """Hold validated values as attributes, with the source of each value."""
 
     def __init__(self, declared, values: dict, sources: dict):
         self._declared = declared
@@ -62,7 +62,7 @@
 
 
 def load(program: str, declared, checks=(), argv=None, environ=None) -> Settings:
-    """Return the settings of `program`, or raise SettingsError naming every problem."""
+    """Return the settings of `program`; raise SettingsError that lists every problem."""
     argv = sys.argv[1:] if argv is None else argv
     environ = os.environ if environ is None else environ
     parser = _build_parser(program, declared)
@@ -89,7 +89,7 @@
 
 
 def load_or_exit(program: str, declared, checks=()) -> Settings:
-    """Return the settings of `program`; on a problem print all of them and exit with 2."""
+    """Return the settings of `program`; if any is invalid, print all problems and exit with 2."""
     try:
         return load(program, declared, checks)
     except SettingsError as error:
--- a/traystall/core/__init__.py
+++ b/traystall/core/__init__.py
@@ -1,1 +1,1 @@
-"""Errors, clock, identifiers, logs and metrics that every layer uses."""
+"""Exceptions, clocks, identifiers, logging and metrics shared by every layer."""
--- a/traystall/core/clock.py
+++ b/traystall/core/clock.py
@@ -1,17 +1,17 @@
-"""Clocks of the I/O edges; decisions get `now` passed in and never read a clock."""
+"""Clocks for code that does I/O; decision functions take `now` as a parameter instead."""
 
 import time
 
 
 def monotonic() -> float:
-    """Return seconds on a clock that never steps back and counts suspended time.
+    """Return seconds on a clock that never goes backwards and includes suspended time.
 
-    Leases and windows are measured on it: a process that was frozen or a
-    machine that slept must find its lease over when it wakes.
+    Leases and time windows use this clock. A process that was frozen, or a machine
+    that was suspended, must see its lease as expired when it resumes.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def wall() -> float:
-    """Return seconds since the epoch, for log time and log records only."""
+    """Return seconds since the epoch; only for timestamps in logs and replicated log entries."""
     return time.time()
--- a/traystall/core/daemon.py
+++ b/traystall/core/daemon.py
@@ -1,4 +1,4 @@
-"""Run a daemon's services under aiomisc until a signal, a fatal error or the end of a drain."""
+"""Run a daemon's service under aiomisc until a signal, a fatal error or the end of a drain."""
 
 import asyncio
 import logging
@@ -11,25 +11,25 @@
 from traystall.core.exceptions import StorageError
 
 EXIT_FAILED = 1
-EXIT_DISK = 3
-_POOL_SIZE = 4
-# Settings that may change without a signal are read this often, in seconds.
+EXIT_STORAGE_ERROR = 3
+_THREAD_POOL_SIZE = 4
+# Interval for re-reading settings that may change without a signal.
 RELOAD_SECONDS = 2.0
 
 logger = logging.getLogger(__name__)
 
 
 class Background:
-    """Hold the tasks that a daemon can't do without; `failed` ends it when one of them dies."""
+    """Hold a daemon's essential tasks; `failed` gets the exception of the first that fails."""
 
     def __init__(self):
         self.failed: asyncio.Future = asyncio.get_running_loop().create_future()
         self._tasks: list[asyncio.Task] = []
 
     def start(self, coroutine) -> None:
-        """Run a coroutine that must never end by itself."""
+        """Start a task for a coroutine that runs until the daemon stops."""
         task = asyncio.create_task(coroutine)
-        task.add_done_callback(self._on_done)
+        task.add_done_callback(self._on_task_done)
         self._tasks.append(task)
 
     def stop(self) -> None:
@@ -37,7 +37,7 @@
         for task in self._tasks:
             task.cancel()
 
-    def _on_done(self, task):
+    def _on_task_done(self, task):
         if task.cancelled() or task.exception() is None or self.failed.done():
             return
         logger.critical("background task died", exc_info=task.exception())
@@ -45,7 +45,7 @@
 
 
 async def first_of(stopping: asyncio.Event, *failures: asyncio.Future) -> None:
-    """Return when `stopping` is set; raise the first failure instead."""
+    """Return when `stopping` is set, or raise the exception of a failed future before that."""
     stop = asyncio.ensure_future(stopping.wait())
     await asyncio.wait({stop, *failures}, return_when=asyncio.FIRST_COMPLETED)
     for failure in failures:
@@ -55,7 +55,7 @@
 
 
 def _reload(service):
-    """Let a service read its settings again; one that can't do so goes on as it is."""
+    """Reload the settings of a service; a service without `reload` is left unchanged."""
     reload = getattr(service, "reload", None)
     logger.info("reload", extra={"taken": reload is not None})
     if reload is not None:
@@ -63,9 +63,12 @@
 
 
 def run(service: aiomisc.Service, until: Callable[[asyncio.Event], Awaitable[None]]) -> int:
-    """Run `service` until `until` returns; it gets an event set by SIGTERM or SIGINT."""
+    """Run `service` until `until(stopping)` returns; SIGTERM and SIGINT set `stopping`.
+
+    Return the exit code of the process.
+    """
     entrypoint = aiomisc.entrypoint(
-        service, pool_size=_POOL_SIZE, log_config=False, loop_factory=uvloop.new_event_loop
+        service, pool_size=_THREAD_POOL_SIZE, log_config=False, loop_factory=uvloop.new_event_loop
     )
     try:
         with entrypoint as loop:
@@ -76,9 +79,9 @@
             loop.run_until_complete(until(stopping))
     except StorageError as error:
         logger.critical("stopped", extra={"why": str(error)})
-        return EXIT_DISK
+        return EXIT_STORAGE_ERROR
     except Exception:
-        # Whatever it was, the process must end so that its supervisor starts it afresh.
+        # The process exits on any exception so that its supervisor restarts it.
         logger.critical("stopped", exc_info=True)
         return EXIT_FAILED
     return 0
--- a/traystall/core/exceptions.py
+++ b/traystall/core/exceptions.py
@@ -1,16 +1,16 @@
-"""The exception tree: one root, and one base class for each layer.
+"""The exception hierarchy: one root class and one base class per layer.
 
-A layer catches the errors of the layer below and raises its own, so that a
-caller never needs to know what lies two layers down.
+Each layer catches the errors of the layer below and raises its own, so callers
+handle only the errors of the layer that they call.
 """
 
 
 class TraystallError(Exception):
-    """Be the root of every error that traystall raises on purpose."""
+    """Root of every exception that traystall raises deliberately."""
 
 
 class SettingsError(TraystallError):
-    """Report settings that cannot be used; `problems` lists every one of them."""
+    """Invalid settings; `problems` lists every problem found."""
 
     def __init__(self, problems):
         self.problems = list(problems)
@@ -18,19 +18,19 @@
 
 
 class RpcError(TraystallError):
-    """Be the base of errors on a link between traystall processes."""
+    """Base of errors on a link between two traystall processes."""
 
 
 class RpcUnavailable(RpcError):
-    """Report that the peer could not be reached, or that the link broke in an exchange."""
+    """The peer could not be reached, or the link broke during a call."""
 
 
 class RpcTimeout(RpcError):
-    """Report that no reply came in time; the peer may have acted."""
+    """No reply arrived before the timeout; the peer may have executed the request."""
 
 
 class RpcRefused(RpcError):
-    """Report that the peer answered with an error; `code` is stable."""
+    """The peer replied with an error; `code` is a stable identifier."""
 
     def __init__(self, code, detail=""):
         self.code = code
@@ -39,23 +39,23 @@
 
 
 class StorageError(TraystallError):
-    """Be the base of errors of the data folder."""
+    """Base of errors in the data folder."""
 
 
 class CorruptLog(StorageError):
-    """Report damage that is not a torn tail; the daemon must not start on it."""
+    """The log is corrupt beyond an incomplete last record; the daemon must not start on it."""
 
 
 class DiskFailed(StorageError):
-    """Report a write or sync that failed; what it was to make durable is still owed."""
+    """A write or sync failed; the data of that write is not durable yet."""
 
 
 class ConsensusError(TraystallError):
-    """Be the base of errors of the replicated log."""
+    """Base of errors in the replicated log."""
 
 
 class NotLeader(ConsensusError):
-    """Report that this replica does not lead; `leader` is its best guess or an empty string."""
+    """This replica is not the leader; `leader` is the last known leader or an empty string."""
 
     def __init__(self, leader=""):
         self.leader = leader
@@ -63,15 +63,15 @@
 
 
 class ChangeInProgress(ConsensusError):
-    """Report that another membership change is not yet committed."""
+    """Another membership change is not committed yet."""
 
 
 class CatalogError(TraystallError):
-    """Be the base of errors of the declared configuration."""
+    """Base of errors in the declared configuration."""
 
 
 class BundleError(CatalogError):
-    """Report a bundle that cannot be applied; `problems` lists every one."""
+    """A bundle cannot be applied; `problems` lists every problem found."""
 
     def __init__(self, problems):
         self.problems = list(problems)
@@ -79,19 +79,19 @@
 
 
 class DeltaMismatch(CatalogError):
-    """Report a delta whose base or result is not the expected one."""
+    """The base or the result of a delta is not the expected revision."""
 
 
 class GatewayError(TraystallError):
-    """Be the base of errors inside a gateway."""
+    """Base of errors inside a gateway."""
 
 
 class TargetError(GatewayError):
-    """Be the base of what can go wrong with one attempt at a target."""
+    """Base of failures of one attempt at a target."""
 
 
 class TargetNotRun(TargetError):
-    """Report that the target did not run the attempt: nothing sent, or an explicit refusal."""
+    """The target did not run the attempt: nothing was sent, or the target refused explicitly."""
 
     def __init__(self, reason, leaving=False, sent=False):
         self.reason = reason
@@ -101,22 +101,22 @@
 
 
 class TargetHeldBack(TargetNotRun):
-    """Report a target that has asked not to be sent the attempt, after it was chosen."""
+    """The target asked not to receive the attempt, after the gateway had chosen it."""
 
 
 class TargetDoubt(TargetError):
-    """Report that an attempt may have run at the target without a usable answer."""
+    """The target may have run the attempt, but gave no usable response."""
 
     def __init__(self, reason, timed_out=False, broken=False):
         self.reason = reason
         self.timed_out = timed_out
-        # Whether the connection ended, as it does when the target itself ends.
+        # Whether the connection was closed, which is also what a crash of the target looks like.
         self.broken = broken
         super().__init__(f"The target may have run the attempt: {reason}.")
 
 
 class TargetFailed(TargetError):
-    """Report that the target ran the attempt and answered with an error."""
+    """The target ran the attempt and responded with an error."""
 
     def __init__(self, status, reason):
         self.status = status
@@ -125,10 +125,10 @@
 
 
 class ProtocolMismatch(TargetDoubt):
-    """Report an answer that belongs to another attempt; its connection must not be reused."""
+    """The response belongs to another attempt; its connection must not be reused."""
 
 
 class ClientError(TraystallError):
-    """Report a failed call of the command-line client; `exit_code` is documented."""
+    """A command of the command-line client failed; `exit_code` is its documented exit code."""
 
     exit_code = 1
--- a/traystall/core/health.py
+++ b/traystall/core/health.py
@@ -11,7 +11,7 @@
 
 
 class Page(msgspec.Struct, frozen=True):
-    """Hold one page, whatever server sends it."""
+    """Hold one page independently of the HTTP server that sends it."""
 
     status: int
     body: bytes
@@ -19,16 +19,16 @@
 
 
 def metrics_page(accept: list[str]) -> Page:
-    """Return the metrics in a form that the reader accepts."""
+    """Return the metrics in a format that the `Accept` headers allow."""
     body, headers = render_metrics(accept)
     return Page(200, body, headers.get("Content-Type", _TEXT))
 
 
 def live_page() -> Page:
-    """Return the page of a daemon that answers at all."""
+    """Return the liveness page."""
     return Page(200, b"ok\n")
 
 
 def ready_page(is_ready: bool) -> Page:
-    """Return the page that says whether to send work here."""
+    """Return the readiness page: 503 while the daemon should receive no work."""
     return Page(200, b"ok\n") if is_ready else Page(503, b"not ready\n")
--- a/traystall/core/ids.py
+++ b/traystall/core/ids.py
@@ -1,4 +1,4 @@
-"""Identifiers: random, printable, short enough for log lines and headers."""
+"""Random printable identifiers, short enough for log lines and headers."""
 
 import secrets
 
--- a/traystall/core/log_writer.py
+++ b/traystall/core/log_writer.py
@@ -1,8 +1,8 @@
-"""Write log lines without ever holding up the daemon that logs.
+"""Write log lines without blocking the daemon.
 
-Lines are handed to a thread, which writes many at a time: a pipe that nobody
-reads stops that thread only. What would take too much memory, and what passes a
-kind's budget, is left out, counted, and said as soon as there is room again.
+A background thread writes the lines in batches, so a pipe that nobody reads blocks
+only that thread. Lines that exceed the memory limit or the rate limit of their
+message are dropped and counted, and the counts are logged with the next batch.
 """
 
 import contextlib
@@ -15,132 +15,132 @@
 
 from traystall.core import clock
 
-# What may wait to be written, in bytes of text.
-MAX_WAITING_BYTES = 1024 * 1024
-# How many lines of one message are written in a second at the most.
-LINES_PER_SECOND = 500
-# Lines are collected for this long, in seconds, before they are written.
-_COLLECT_SECONDS = 0.05
-# At the end of the process the last lines are waited for this long, in seconds.
-_CLOSE_SECONDS = 0.5
-LEFT_OUT = "log-lines-left-out"
+# Upper bound on the formatted lines that wait for the writer thread.
+MAX_PENDING_BYTES = 1024 * 1024
+# Rate limit for the lines of one message.
+MAX_LINES_PER_SECOND = 500
+# How long the writer thread collects lines before it writes a batch.
+_BATCH_INTERVAL_SECONDS = 0.05
+# How long a flush waits for the writer thread, also at the end of the process.
+_FLUSH_TIMEOUT_SECONDS = 0.5
+DROPPED_LINES_EVENT = "log-lines-left-out"
 
 
 class LineBudget:
-    """Bound the lines of each message in each second. Pure; times are monotonic seconds."""
+    """Limit the lines of each message per second. Pure; times are monotonic seconds."""
 
-    def __init__(self, lines_per_second: int = LINES_PER_SECOND):
+    def __init__(self, lines_per_second: int = MAX_LINES_PER_SECOND):
         self._limit = lines_per_second
         self._second = float("-inf")
         self._written: Counter[str] = Counter()
-        self._left_out: Counter[str] = Counter()
+        self._dropped: Counter[str] = Counter()
 
     def allows(self, message: str, now: float) -> bool:
-        """Count a line of a message; return whether it is within its budget."""
+        """Count a line of a message; return whether it is within the rate limit."""
         if now - self._second >= 1.0:
             self._second = now
             self._written.clear()
         self._written[message] += 1
         if self._written[message] <= self._limit:
             return True
-        self.leave_out(message)
+        self.count_dropped(message)
         return False
 
-    def leave_out(self, message: str) -> None:
-        """Count a line that was not written."""
-        self._left_out[message] += 1
+    def count_dropped(self, message: str) -> None:
+        """Count a line that was dropped."""
+        self._dropped[message] += 1
 
-    def take_left_out(self) -> dict[str, int]:
-        """Return how many lines of each message were left out since the last call."""
-        found = dict(self._left_out)
-        self._left_out.clear()
+    def take_dropped_counts(self) -> dict[str, int]:
+        """Return how many lines of each message were dropped since the last call."""
+        found = dict(self._dropped)
+        self._dropped.clear()
         return found
 
 
-class _Line(msgspec.Struct):
-    """Hold one line that waits to be written."""
+class _PendingLine(msgspec.Struct):
+    """Hold one line that is queued for the writer thread."""
 
     message: str
     data: bytes
 
 
 class BackgroundHandler(logging.Handler):
-    """Format records where they are made and write them in a thread of its own."""
+    """Format records in the calling thread and write them in a background thread."""
 
     def __init__(self, descriptor: int, budget: LineBudget | None = None):
         super().__init__()
         self._descriptor = descriptor
         self._budget = budget or LineBudget()
-        self._waiting: deque[_Line] = deque()
-        self._waiting_bytes = 0
+        self._pending: deque[_PendingLine] = deque()
+        self._pending_bytes = 0
         self._lock = threading.Lock()
-        self._wanted = threading.Event()
-        self._written = threading.Event()
-        self._written.set()
+        self._has_pending = threading.Event()
+        self._all_written = threading.Event()
+        self._all_written.set()
         self._closing = threading.Event()
         self._thread = threading.Thread(target=self._write_forever, name="log", daemon=True)
         self._thread.start()
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Hand a record over, or count it as left out; never wait."""
+        """Queue a record, or count it as dropped; never block on the descriptor."""
         with self._lock:
             if not self._budget.allows(record.getMessage(), clock.monotonic()):
                 return
         try:
-            line = _Line(record.getMessage(), self.format(record).encode() + b"\n")
+            line = _PendingLine(record.getMessage(), self.format(record).encode() + b"\n")
         except (TypeError, ValueError):
             self.handleError(record)
             return
         with self._lock:
-            if self._waiting_bytes + len(line.data) > MAX_WAITING_BYTES:
-                self._budget.leave_out(line.message)
+            if self._pending_bytes + len(line.data) > MAX_PENDING_BYTES:
+                self._budget.count_dropped(line.message)
                 return
-            self._waiting.append(line)
-            self._waiting_bytes += len(line.data)
-        if not self._wanted.is_set():
-            self._written.clear()
-            self._wanted.set()
+            self._pending.append(line)
+            self._pending_bytes += len(line.data)
+        if not self._has_pending.is_set():
+            self._all_written.clear()
+            self._has_pending.set()
 
     def flush(self) -> None:
-        """Wait a moment until what was handed over is written."""
+        """Wait until the queued lines are written, for a limited time."""
         self._closing.set()
-        self._written.wait(_CLOSE_SECONDS)
+        self._all_written.wait(_FLUSH_TIMEOUT_SECONDS)
         self._closing.clear()
 
     def close(self) -> None:
-        """Write what waits, as far as somebody reads it."""
+        """Flush the queued lines; give up after the flush timeout if nobody reads them."""
         self.flush()
         super().close()
 
     def _write_forever(self):
         while True:
-            self._wanted.wait()
-            self._closing.wait(_COLLECT_SECONDS)
-            self._wanted.clear()
-            data = self._take()
-            # A reader that has gone must not end the daemon.
+            self._has_pending.wait()
+            self._closing.wait(_BATCH_INTERVAL_SECONDS)
+            self._has_pending.clear()
+            data = self._take_batch()
+            # A closed pipe must not end the daemon.
             with contextlib.suppress(OSError):
-                _write_whole(self._descriptor, data)
-            if not self._wanted.is_set():
-                self._written.set()
+                _write_all(self._descriptor, data)
+            if not self._has_pending.is_set():
+                self._all_written.set()
 
-    def _take(self) -> bytes:
+    def _take_batch(self) -> bytes:
         with self._lock:
-            lines = list(self._waiting)
-            self._waiting.clear()
-            self._waiting_bytes = 0
-            left_out = self._budget.take_left_out()
-        if left_out:
-            lines.append(_Line(LEFT_OUT, self._left_out_line(left_out)))
+            lines = list(self._pending)
+            self._pending.clear()
+            self._pending_bytes = 0
+            dropped = self._budget.take_dropped_counts()
+        if dropped:
+            lines.append(_PendingLine(DROPPED_LINES_EVENT, self._format_dropped_counts(dropped)))
         return b"".join(line.data for line in lines)
 
-    def _left_out_line(self, counts) -> bytes:
-        record = logging.LogRecord(__name__, logging.WARNING, "", 0, LEFT_OUT, (), None)
+    def _format_dropped_counts(self, counts) -> bytes:
+        record = logging.LogRecord(__name__, logging.WARNING, "", 0, DROPPED_LINES_EVENT, (), None)
         record.counts = counts
         return self.format(record).encode() + b"\n"
 
 
-def _write_whole(descriptor, data):
+def _write_all(descriptor, data):
     view = memoryview(data)
     while view:
         view = view[os.write(descriptor, view) :]
--- a/traystall/core/logs.py
+++ b/traystall/core/logs.py
@@ -1,7 +1,7 @@
-"""JSON log lines; one record for each routing or placement decision.
+"""JSON logging, with one record for each routing or placement decision.
 
-Writing them never holds a daemon up (see `log_writer`). No body, prompt or
-idempotency key may be passed to these functions.
+Writing never blocks the daemon (see `log_writer`). Callers must not pass request
+bodies, prompts or idempotency keys to these functions.
 """
 
 import logging
@@ -18,7 +18,7 @@
 
 
 def configure(level: str, instance: str, data_centre: str) -> None:
-    """Send every log record to standard error as one JSON object a line."""
+    """Send every log record to standard error, as one JSON object per line."""
     handler = BackgroundHandler(sys.stderr.fileno())
     handler.setFormatter(
         JsonFormatter(
@@ -33,6 +33,6 @@
 
 
 def decision(event: str, **fields) -> None:
-    """Write one decision record; `event` names the decision, `fields` say why."""
+    """Log one decision; `event` names the decision and `fields` hold its reasons."""
     if _decisions.isEnabledFor(logging.INFO):
         _decisions.info(event, extra=fields)
--- a/traystall/core/metrics.py
+++ b/traystall/core/metrics.py
@@ -4,8 +4,8 @@
 
 from aioprometheus import REGISTRY, Counter, Gauge, Histogram, render
 
-# Upper bounds of the classes of call times, in seconds.
-_CALL_SECONDS = (0.01, 0.03, 0.1, 0.3, 1.0, 3.0, float("inf"))
+# Histogram buckets of call durations.
+_CALL_SECONDS_BUCKETS = (0.01, 0.03, 0.1, 0.3, 1.0, 3.0, float("inf"))
 
 requests_total = Counter("traystall_requests_total", "Requests answered, by pipeline and outcome.")
 attempts_total = Counter("traystall_attempts_total", "Attempts at targets, by stage and outcome.")
@@ -82,18 +82,18 @@
 rpc_call_seconds = Histogram(
     "traystall_rpc_call_seconds",
     "Seconds until a call ended, whatever its outcome, by kind.",
-    buckets=_CALL_SECONDS,
+    buckets=_CALL_SECONDS_BUCKETS,
 )
 rpc_unsent_bytes = Gauge(
     "traystall_rpc_unsent_bytes", "Bytes that wait in write buffers, by side and peer's role."
 )
 
-# Called before each rendering; for figures that are cheaper to keep elsewhere until then.
-before_rendering: list[Callable[[], None]] = []
+# Callbacks that run before each rendering, for values that are cheaper to publish only then.
+render_callbacks: list[Callable[[], None]] = []
 
 
 def render_metrics(accept: list[str]) -> tuple[bytes, dict[str, str]]:
-    """Return the body and headers of a `/metrics` answer."""
-    for publish in before_rendering:
+    """Return the body and headers of a `/metrics` response."""
+    for publish in render_callbacks:
         publish()
     return render(REGISTRY, accept)
--- a/traystall/core/serialization.py
+++ b/traystall/core/serialization.py
@@ -20,5 +20,5 @@
 
 
 def digest(data: bytes) -> bytes:
-    """Return the 16-byte SHA-256 prefix that names a content."""
+    """Return the first 16 bytes of the SHA-256 hash, which identify the content."""
     return hashlib.sha256(data).digest()[:DIGEST_BYTES]
--- a/traystall/core/startup.py
+++ b/traystall/core/startup.py
@@ -1,8 +1,8 @@
-"""Start a daemon fast: import this module, and call `begin`, before anything else.
+"""Shorten daemon startup: import this module and call `prepare_imports` before anything else.
 
-After a loss of power every daemon starts at the same moment and nothing is
-served until they have: what the interpreter does before the first line of a
-daemon counts as much as what the daemon does then.
+After a power failure all daemons start at the same moment, and no request is served
+until they are up. The time that the interpreter spends on imports therefore counts as
+much as the daemon's own startup.
 """
 
 import gc
@@ -10,23 +10,23 @@
 
 from traystall.core import clock
 
-# Since when, in monotonic seconds, this process has been running at the least.
+# Monotonic time of this import; the process has been running at least since then.
 STARTED_AT = clock.monotonic()
-# The variable that keeps aiomisc from searching what is installed for plugins.
+# Environment variable that disables the plugin discovery of aiomisc.
 _NO_PLUGINS = "AIOMISC_NO_PLUGINS"
 
 
-def begin() -> None:
-    """Prepare for the imports of a daemon.
+def prepare_imports() -> None:
+    """Disable garbage collection and plugin discovery for the imports of a daemon.
 
-    The collector would run many times while nothing can be collected, and the
-    search for plugins reads the descriptions of all packages.
+    The collector would run many times during imports without finding garbage, and the
+    plugin discovery reads the metadata of all installed packages.
     """
     gc.disable()
     os.environ.setdefault(_NO_PLUGINS, "1")
 
 
-def finish() -> None:
-    """Take up collecting again; what was imported stays for good and is left out of it."""
+def finish_imports() -> None:
+    """Enable garbage collection again, excluding the imported objects, which never become free."""
     gc.freeze()
     gc.enable()
--- a/traystall/rpc/traffic.py
+++ b/traystall/rpc/traffic.py
@@ -113,4 +113,4 @@
     return found
 
 
-metrics.before_rendering.append(_publish)
+metrics.render_callbacks.append(_publish)
