--- a/tests/catalog/test_transfers.py
+++ b/tests/catalog/test_transfers.py
@@ -8,8 +8,8 @@
 
 from traystall.catalog.deltas import apply_delta, entities_digest, make_delta
 from traystall.catalog.transfers import (
-    FIRST_CHUNK_BYTES,
-    FIRST_CHUNK_SECONDS,
+    INITIAL_CHUNK_BYTES,
+    INITIAL_CHUNK_TIMEOUT_SECONDS,
     ChunkPace,
     IncomingCopy,
     PackedCopies,
@@ -103,10 +103,10 @@
     for _ in range(4):
         wasted += pace.bytes
         pace.on_failure()
-    assert wasted < 2 * FIRST_CHUNK_BYTES
-    assert pace.seconds > 4 * FIRST_CHUNK_SECONDS
+    assert wasted < 2 * INITIAL_CHUNK_BYTES
+    assert pace.seconds > 4 * INITIAL_CHUNK_TIMEOUT_SECONDS
     pace.on_chunk(1.0)
-    assert pace.seconds == FIRST_CHUNK_SECONDS
+    assert pace.seconds == INITIAL_CHUNK_TIMEOUT_SECONDS
 
 
 def test_deltas_of_renamed_entities_take_linear_time():
--- a/tests/rpc/test_link_metrics.py
+++ b/tests/rpc/test_link_metrics.py
@@ -226,10 +226,10 @@
             await link.call(ProbeRequest(instance="in time"), 5.0)
             assert growth("late_reply_bytes_total", kind="probe") == 0
             await give_up(link, 3)
-            now[0] += client._LATE_LINE_SECONDS / 2
+            now[0] += client._LATE_LOG_INTERVAL_SECONDS / 2
             await give_up(link, 1)
             assert len(caplog.records) == 1
-            now[0] += client._LATE_LINE_SECONDS / 2
+            now[0] += client._LATE_LOG_INTERVAL_SECONDS / 2
             await give_up(link, 1)
             return link.address
 
--- a/traystall/catalog/deltas.py
+++ b/traystall/catalog/deltas.py
@@ -46,12 +46,12 @@
     """Return the result of `delta`; raise DeltaMismatch on a wrong base or result."""
     if base_digest != delta.base:
         raise DeltaMismatch("The delta starts from another revision than the one held here.")
-    # Made once: a set for each key took 196 ms for 1,400 keys that all move, this takes 2.
+    # Built once: a set for each key took 196 ms for 1,400 renamed keys; this takes 2 ms.
     deleted = set(delta.deletes)
     result = {key: value for key, value in base.items() if key not in deleted}
     result.update(delta.puts)
     if entities_digest(result) != delta.result:
         raise DeltaMismatch("The delta does not lead to the revision that it names.")
-    # Packing takes quadratic time where a low key comes last: 658 ms for 16,000 entities, which
-    # in order of their keys take 40 ms.
+    # Packing takes quadratic time if a low key comes last: 658 ms for 16,000 entities, but
+    # 40 ms if they are sorted by key.
     return dict(sorted(result.items()))
--- a/traystall/catalog/state.py
+++ b/traystall/catalog/state.py
@@ -1,8 +1,7 @@
 """The catalog: a pure state machine of accepted revisions.
 
-For one number exactly one content is ever accepted. The same number with the
-same content gets the same answer for ever and changes nothing, whatever has
-been accepted since.
+At most one content is accepted for each number. Applying the same number and content
+again returns the same result and changes nothing, whatever was accepted since.
 """
 
 import msgspec
@@ -18,8 +17,8 @@
 from traystall.core.exceptions import DeltaMismatch
 from traystall.core.serialization import pack, unpack
 
-# Deltas kept in memory for gateways that are a little behind.
-KEPT_DELTAS = 64
+# Number of deltas kept in memory for gateways that are a few revisions behind.
+MAX_KEPT_DELTAS = 64
 
 
 class CatalogSnapshot(msgspec.Struct, frozen=True):
@@ -76,7 +75,7 @@
             return ApplyResult(ApplyOutcome.REBASE, None, self.number)
         result = self._accept(command)
         if result.outcome is ApplyOutcome.ACCEPTED:
-            # Lower numbers are never asked about again under this rule.
+            # Under this rule the results of lower numbers are never looked up again.
             self._history = {command.number: result.revision}
         return result
 
@@ -114,20 +113,20 @@
         try:
             self.entities = apply_delta(self.entities, self.digest, command.delta)
         except DeltaMismatch:
-            # Raised out of the log, it would end every replica, again at each start.
+            # An exception here would stop every replica, and again at each log replay.
             return ApplyResult(ApplyOutcome.REBASE, None, self.number)
-        self._remember(command.delta)
+        self._keep_delta(command.delta)
         self.digest = command.delta.result
         self.number = command.number
         revision = Revision(command.number, command.digest, command.operator)
         self._history[command.number] = revision
         return ApplyResult(ApplyOutcome.ACCEPTED, revision, self.number)
 
-    def _remember(self, delta):
+    def _keep_delta(self, delta):
         if delta.base == delta.result:
             return
         self._deltas[delta.base] = delta
-        while len(self._deltas) > KEPT_DELTAS:
+        while len(self._deltas) > MAX_KEPT_DELTAS:
             del self._deltas[next(iter(self._deltas))]
 
 
--- a/traystall/catalog/transfers.py
+++ b/traystall/catalog/transfers.py
@@ -1,8 +1,8 @@
-"""Deltas and full copies as packed bytes that are handed out in chunks.
+"""Pack deltas and full copies of a configuration into bytes that are transferred in chunks.
 
-A configuration may be larger than a narrow link carries before any sensible time-out. In chunks
-nothing that has arrived is lost to a time-out, and any source that packs the same bytes can go
-on where another one stopped. Everything here is pure.
+A slow link may not carry a whole configuration before a reasonable timeout. With chunks a
+timeout loses none of the received data, and another source that packs the same bytes can
+continue the transfer. Everything here is pure.
 """
 
 import zlib
@@ -17,20 +17,20 @@
 
 # The fastest level: 600 KB of routes become 37 KB in 4 ms, at the highest 33 KB in 7 ms.
 _COMPRESSION_LEVEL = 1
-# How many packed revisions a source keeps: one for each base that gateways still hold.
+# Number of packed copies that a source caches: one for each base that gateways still hold.
 KEPT_PACKED = 16
-# The largest revision that is unpacked, in bytes, as for frames: a bound against damage.
+# Limit on the unpacked size, equal to the frame limit, as a protection against corrupt data.
 _MAX_UNPACKED_BYTES = 64 * 1024 * 1024
 
-# Chunks, in bytes: the first and the least one takes 26 and 3 ms alone on 5 Mbit/s.
-FIRST_CHUNK_BYTES = 16 * 1024
-_LEAST_CHUNK_BYTES = 2 * 1024
-_LARGEST_CHUNK_BYTES = 64 * 1024
-# How long a chunk may take, in seconds: at first, and after several that took longer.
-FIRST_CHUNK_SECONDS = 0.6
-_LONGEST_CHUNK_SECONDS = 4.8
-# A chunk that took less than this, in seconds, may be followed by a larger one.
-_QUICK_SECONDS = 0.1
+# Chunk sizes: on an idle 5 Mbit/s link the first takes 26 ms and the smallest 3 ms.
+INITIAL_CHUNK_BYTES = 16 * 1024
+_MIN_CHUNK_BYTES = 2 * 1024
+_MAX_CHUNK_BYTES = 64 * 1024
+# Timeout of a chunk: the initial value, and the limit after repeated timeouts.
+INITIAL_CHUNK_TIMEOUT_SECONDS = 0.6
+_MAX_CHUNK_TIMEOUT_SECONDS = 4.8
+# After a chunk that took less than this the next chunk is larger.
+_FAST_CHUNK_SECONDS = 0.1
 
 
 class RevisionCopy(msgspec.Struct, frozen=True):
@@ -79,9 +79,9 @@
 
 
 class PackedCopies:
-    """Keep the copies that were packed last, the least recently used one going first.
+    """Cache packed copies and evict the least recently used one.
 
-    Hundreds of gateways take the same copy within a second or two: it is packed once.
+    Hundreds of gateways request the same copy within a second or two; it is packed once.
     """
 
     def __init__(self, kept: int = KEPT_PACKED):
@@ -142,23 +142,24 @@
 
 
 class ChunkPace:
-    """Choose how much is asked for at a time, and how long it may take.
+    """Choose the size and the timeout of the next chunk.
 
-    A chunk that comes too late is thrown away, so each failure halves the next one and doubles
-    its time: what is wasted in a row stays under two chunks, and a link of any width gets on.
+    A chunk that arrives after its timeout is discarded, so each failure halves the size of the
+    next chunk and doubles its timeout. Consecutive failures waste less than two chunks, and the
+    transfer makes progress at any bandwidth.
     """
 
     def __init__(self):
-        self.bytes = FIRST_CHUNK_BYTES
-        self.seconds = FIRST_CHUNK_SECONDS
+        self.bytes = INITIAL_CHUNK_BYTES
+        self.seconds = INITIAL_CHUNK_TIMEOUT_SECONDS
 
     def on_chunk(self, seconds: float) -> None:
         """Take in that a chunk took `seconds`."""
-        self.seconds = FIRST_CHUNK_SECONDS
-        if seconds < _QUICK_SECONDS:
-            self.bytes = min(_LARGEST_CHUNK_BYTES, 2 * self.bytes)
+        self.seconds = INITIAL_CHUNK_TIMEOUT_SECONDS
+        if seconds < _FAST_CHUNK_SECONDS:
+            self.bytes = min(_MAX_CHUNK_BYTES, 2 * self.bytes)
 
     def on_failure(self) -> None:
         """Take in that a chunk did not come in time."""
-        self.bytes = max(_LEAST_CHUNK_BYTES, self.bytes // 2)
-        self.seconds = min(_LONGEST_CHUNK_SECONDS, 2 * self.seconds)
+        self.bytes = max(_MIN_CHUNK_BYTES, self.bytes // 2)
+        self.seconds = min(_MAX_CHUNK_TIMEOUT_SECONDS, 2 * self.seconds)
--- a/traystall/rpc/client.py
+++ b/traystall/rpc/client.py
@@ -1,4 +1,7 @@
-"""A client link to one peer: multiplexed calls, one-way messages, reconnection on use."""
+"""Client side of a link, the connection between two processes.
+
+A link multiplexes calls and one-way messages, and reconnects on the next use.
+"""
 
 import asyncio
 import itertools
@@ -12,16 +15,16 @@
 from traystall.rpc.gen.wire.ttypes import Frame, Method
 from traystall.rpc.messages import METHOD_OF_REQUEST, REPLY_TYPES, decode, encode
 
-_CONNECT_TIMEOUT = 0.5
+_CONNECT_TIMEOUT_SECONDS = 0.5
 _MAX_UNSENT_BYTES = 8 * 1024 * 1024
-# A link writes at most one line of late replies in so many seconds.
-_LATE_LINE_SECONDS = 1.0
+# Minimum interval between two log lines of one link about late replies.
+_LATE_LOG_INTERVAL_SECONDS = 1.0
 
 logger = logging.getLogger(__name__)
 
 
 class LinkIdentity:
-    """Hold what this process says of itself when it opens a link."""
+    """Identify this process to the peer when it opens a link."""
 
     def __init__(self, cluster: str, role: str, sender: str, secret: str = ""):
         self.cluster = cluster
@@ -30,12 +33,12 @@
         self.secret = secret
 
     def hello(self):
-        """Return a fresh signed greeting."""
+        """Return a new signed `Hello` message."""
         return make_hello(self.cluster, self.role, self.sender, self.secret)
 
 
 class Link:
-    """Call one peer. A broken link fails its calls and is opened again by the next one."""
+    """Call one peer. A broken link fails its pending calls; the next call reconnects."""
 
     def __init__(self, address: str, identity: LinkIdentity):
         self.address = address
@@ -45,7 +48,7 @@
         self._writer: asyncio.StreamWriter | None = None
         self._reader_task: asyncio.Task | None = None
         self._connecting = asyncio.Lock()
-        self._late_line_at = float("-inf")
+        self._late_logged_at = float("-inf")
 
     async def call(self, request, timeout: float):
         """Return the peer's reply to `request`; raise an RpcError if there is none."""
@@ -57,7 +60,7 @@
                 raise RpcTimeout(f"No reply from {self.address} within {timeout:.2f} s.") from error
 
     async def send(self, message) -> None:
-        """Send a one-way message; drop it quietly if the peer is slow to take bytes."""
+        """Send a one-way message; drop it silently if the write buffer is over its limit."""
         await self._ensure_open()
         method = METHOD_OF_REQUEST[type(message)]
         frame = Frame(call_id=0, method=method, reply=False, body=encode(message))
@@ -82,15 +85,15 @@
         finally:
             self._pending.pop(call_id, None)
             if future.done() and not future.cancelled():
-                # A caller that is cancelled, or whose own frame broke the link, does not await it:
-                # without this the loop would report the error as never retrieved.
+                # If the caller is cancelled, or if its own frame broke the link, nobody awaits
+                # the future. Reading its exception keeps the loop from reporting it as lost.
                 future.exception()
         if reply.error:
             raise RpcRefused(reply.error, reply.detail or "")
         return decode(REPLY_TYPES[method], reply.body)
 
     def _write(self, frame, droppable=False):
-        """Queue a frame; leave a droppable one out if the peer is slow to take bytes."""
+        """Queue a frame; drop a droppable one if the write buffer is over its limit."""
         try:
             if droppable and self._writer.transport.get_write_buffer_size() > _MAX_UNSENT_BYTES:
                 return
@@ -111,7 +114,7 @@
     async def _open(self):
         host, _, port = self.address.rpartition(":")
         try:
-            async with asyncio.timeout(_CONNECT_TIMEOUT):
+            async with asyncio.timeout(_CONNECT_TIMEOUT_SECONDS):
                 reader, writer = await asyncio.open_connection(host, int(port))
                 hello = Frame(
                     call_id=0,
@@ -122,7 +125,7 @@
                 notice_silence(writer.transport)
                 write_frame(writer, hello)
         except (OSError, TimeoutError, ValueError, OverflowError) as error:
-            # The last two: an address that was told by a peer and is none.
+            # ValueError and OverflowError: a peer reported an invalid address.
             raise RpcUnavailable(f"{self.address} cannot be reached: {error}.") from error
         self._writer = writer
         traffic.watch_opened(writer)
@@ -141,25 +144,25 @@
                 if future is not None and not future.done():
                     future.set_result(frame)
                 else:
-                    self._note_late_reply(frame, size)
+                    self._record_late_reply(frame, size)
         except (OSError, asyncio.IncompleteReadError, RpcError):
             pass
         finally:
             self._drop(error)
 
-    def _note_late_reply(self, frame, size):
-        """Count a reply of `size` bytes whose caller has given up; write a line now and then."""
+    def _record_late_reply(self, frame, size):
+        """Count a reply of `size` bytes whose caller has given up; log at a limited rate."""
         traffic.count_late(frame.method, size)
         now = clock.monotonic()
-        if now - self._late_line_at < _LATE_LINE_SECONDS:
+        if now - self._late_logged_at < _LATE_LOG_INTERVAL_SECONDS:
             return
-        self._late_line_at = now
+        self._late_logged_at = now
         kind = traffic.kind_of(frame.method)
         logger.info("late reply", extra={"method": kind, "peer": self.address, "bytes": size})
 
     def _drop(self, error):
         if self._writer is not None:
-            traffic.forget(self._writer)
+            traffic.unwatch(self._writer)
             self._writer.close()
             self._writer = None
         for future in self._pending.values():
@@ -176,7 +179,7 @@
         self._links: dict[str, Link] = {}
 
     def link(self, address: str) -> Link:
-        """Return the link to `address`, made on first use."""
+        """Return the link to `address`; create it on first use."""
         found = self._links.get(address)
         if found is None:
             found = self._links[address] = Link(address, self._identity)
--- a/traystall/rpc/copies.py
+++ b/traystall/rpc/copies.py
@@ -1,4 +1,4 @@
-"""Hand a configuration to whoever watches: small changes in the reply, large ones in chunks."""
+"""Send the configuration to subscribers: small changes in the reply, large ones in chunks."""
 
 from collections.abc import Callable
 
@@ -13,9 +13,9 @@
 
 
 class CopySource:
-    """Answer watches and requests for chunks of one process.
+    """Answer the watch and chunk requests that one process receives.
 
-    `copy_from(base)` returns what leads from the revision with digest `base` to the newest one.
+    `copy_from(base)` returns the copy that updates the revision with digest `base` to the newest.
     """
 
     def __init__(self, copy_from: Callable[[bytes], RevisionCopy]):
@@ -23,19 +23,19 @@
         self._packed = PackedCopies()
 
     def fill(self, reply: WatchReply, request: WatchRequest) -> None:
-        """Put what the watcher lacks into `reply`, or an offer of it if it is large."""
+        """Put the update for the subscriber into `reply`, or an offer if the update is large."""
         copy = self._copy_from(request.digest)
-        if request.inline_bytes is None or _size(copy) <= request.inline_bytes:
+        if request.inline_bytes is None or _approximate_size(copy) <= request.inline_bytes:
             fill_reply(reply, copy)
             return
         packed = self._pack(copy)
         reply.offer = Offer(digest=packed.digest, size=len(packed.data))
 
     def chunk(self, request: TransferRequest) -> TransferReply:
-        """Return a part of a packed copy, whichever source has offered it."""
+        """Return a chunk of a packed copy, also of one that another source has offered."""
         packed = self._packed.find(request.digest)
         if packed is None:
-            # It was offered elsewhere: the same revisions give the same bytes here.
+            # Another source offered the copy; equal revisions pack to equal bytes everywhere.
             copy = self._copy_from(request.base)
             if copy.result != request.result:
                 return TransferReply(known=False)
@@ -59,7 +59,7 @@
         reply.base = copy.base
 
 
-def _size(copy) -> int:
-    """Return about how many bytes a copy takes, those of its keys included."""
+def _approximate_size(copy) -> int:
+    """Return the approximate size of a copy in bytes, including its keys."""
     puts = sum(len(key) + len(value) for key, value in copy.puts.items())
     return puts + sum(len(key) for key in copy.deletes)
--- a/traystall/rpc/framing.py
+++ b/traystall/rpc/framing.py
@@ -1,4 +1,4 @@
-"""Length-prefixed frames over asyncio streams, and the signed greeting that opens a link."""
+"""Length-prefixed frames over asyncio streams, and the signed `Hello` that opens a link."""
 
 import asyncio
 import hashlib
@@ -48,7 +48,7 @@
 
 
 def make_hello(cluster: str, role: str, sender: str, secret: str) -> Hello:
-    """Return the greeting of a link, signed when a shared secret is set."""
+    """Return the `Hello` of a link, signed if a shared secret is set."""
     hello = Hello(
         cluster=cluster,
         role=role,
@@ -60,8 +60,8 @@
     return hello
 
 
-def refuse_reason(hello: Hello, cluster: str, secret: str) -> str:
-    """Return why a greeting must be refused, or an empty string."""
+def refusal_reason(hello: Hello, cluster: str, secret: str) -> str:
+    """Return why a `Hello` must be refused, or an empty string if it is valid."""
     if hello.cluster != cluster:
         return f"This process belongs to cluster '{cluster}', not '{hello.cluster}'."
     if hello.protocol != PROTOCOL_VERSION:
--- a/traystall/rpc/messages.py
+++ b/traystall/rpc/messages.py
@@ -1,4 +1,4 @@
-"""Encode and decode wire messages; the one place that knows thrift's protocol classes."""
+"""Encode and decode wire messages; only this module uses thrift's protocol classes."""
 
 import functools
 
@@ -14,7 +14,7 @@
 _factory = TCompactProtocolAcceleratedFactory()
 
 PROTOCOL_VERSION = 1
-# What the decoders of the library raise on bytes that are no message.
+# Exceptions that the thrift decoders raise on invalid bytes.
 _DECODE_ERRORS = (TException, EOFError, ValueError, TypeError, OverflowError, MemoryError)
 
 REQUEST_TYPES = {
@@ -87,7 +87,7 @@
     Method.LIFT: ttypes.LiftReply,
     Method.PERMIT: ttypes.PermitReply,
 }
-# What replicas of the log send one another; none is answered as a call.
+# One-way messages between replicas of the log.
 PEER_MESSAGES = (
     ttypes.VoteRequest,
     ttypes.VoteReply,
@@ -110,8 +110,8 @@
 def decode(kind, data: bytes):
     """Return `data` decoded as the generated class `kind`.
 
-    Raise RpcError if it can't be decoded, or lacks a field that is required: the loops that all
-    daemons depend on go by what they are told, and one row without its identity ended them all.
+    Raise RpcError if the data can't be decoded or lacks a required field. The background loops
+    of the daemons rely on required fields: one row without an identity stopped all daemons.
     """
     message = kind()
     try:
@@ -123,7 +123,7 @@
 
 
 def _validate(message):
-    """Raise TProtocolException if the message or one inside it lacks a required field."""
+    """Raise TProtocolException if the message or a nested one lacks a required field."""
     message.validate()
     for name, is_list in _nested_fields(type(message)):
         value = getattr(message, name)
--- a/traystall/rpc/pacing.py
+++ b/traystall/rpc/pacing.py
@@ -1,9 +1,9 @@
-"""How long a message may take on its link by its size alone."""
+"""Transfer time of a message by its size."""
 
-# The narrowest link between control daemons that is served, shared by two peers: 2 Mbit/s.
+# The slowest supported link between control daemons: 2 Mbit/s, shared by two peers.
 _SLOWEST_BYTES_PER_SECOND = 250_000
 
 
 def transfer_seconds(size_bytes: int) -> float:
-    """Return how long so many bytes take on the narrowest link that is served."""
+    """Return the transfer time of `size_bytes` on the slowest supported link."""
     return size_bytes / _SLOWEST_BYTES_PER_SECOND
--- a/traystall/rpc/server.py
+++ b/traystall/rpc/server.py
@@ -7,12 +7,12 @@
 from traystall.core.exceptions import RpcError, RpcRefused
 from traystall.core.sockets import notice_silence
 from traystall.rpc import traffic
-from traystall.rpc.framing import read_frame, refuse_reason, write_frame
+from traystall.rpc.framing import read_frame, refusal_reason, write_frame
 from traystall.rpc.gen.wire.ttypes import Frame, Hello, Method
 from traystall.rpc.messages import REQUEST_TYPES, decode, encode
 
-_GREETING_TIMEOUT = 5.0
-# The code by which a message is refused that can't be decoded or lacks a field.
+_HELLO_TIMEOUT_SECONDS = 5.0
+# Error code for a message that can't be decoded or lacks a required field.
 BAD_MESSAGE = "bad-message"
 
 logger = logging.getLogger(__name__)
@@ -35,7 +35,7 @@
         self._server = await asyncio.start_server(self._serve_link, host, int(port))
 
     async def stop(self) -> None:
-        """Stop accepting and end what is being served."""
+        """Stop accepting links and cancel the calls in progress."""
         if self._server is not None:
             self._server.close()
         for task in list(self._tasks):
@@ -46,29 +46,29 @@
         self._tasks.add(task)
         notice_silence(writer.transport)
         try:
-            hello = await self._greet(reader, writer)
+            hello = await self._read_hello(reader, writer)
             if hello is not None:
                 traffic.watch_accepted(writer, hello.role)
                 await self._serve_frames(reader, writer)
         except (OSError, asyncio.IncompleteReadError, TimeoutError):
             pass
         except asyncio.CancelledError:
-            pass  # By `stop`; passed on, it would be logged as an error of the stream's own task.
+            pass  # Cancelled by `stop`; asyncio would log a raised error of the stream's task.
         except RpcError as error:
             logger.warning("link closed", extra={"why": str(error)})
         finally:
             self._tasks.discard(task)
-            traffic.forget(writer)
+            traffic.unwatch(writer)
             writer.close()
 
-    async def _greet(self, reader, writer) -> Hello | None:
-        """Return the greeting of a link, or refuse the link and return None."""
-        async with asyncio.timeout(_GREETING_TIMEOUT):
+    async def _read_hello(self, reader, writer) -> Hello | None:
+        """Return the `Hello` of a link, or refuse the link and return None."""
+        async with asyncio.timeout(_HELLO_TIMEOUT_SECONDS):
             frame = await read_frame(reader)
         if frame.method != Method.HELLO:
             raise RpcError("A link must open with a greeting.")
         hello = decode(Hello, frame.body)
-        reason = refuse_reason(hello, self._cluster, self._secret)
+        reason = refusal_reason(hello, self._cluster, self._secret)
         if not reason:
             return hello
         logger.warning("link refused", extra={"why": reason})
@@ -89,27 +89,27 @@
                 await self._refuse(writer, frame, error)
                 continue
             if frame.call_id == 0:
-                await self._take(request)
+                await self._handle_one_way(request)
                 continue
             task = asyncio.create_task(self._answer(writer, frame, request))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
     async def _refuse(self, writer, frame, error):
-        """Refuse one message that can't be read; the link goes on for those that can."""
+        """Refuse one message that can't be decoded; the link stays open for other messages."""
         logger.warning("message refused", extra={"method": frame.method, "why": str(error)})
         if frame.call_id:
             refusal = Frame(call_id=frame.call_id, method=frame.method, reply=True)
             refusal.error, refusal.detail = BAD_MESSAGE, str(error)
             await self._write(writer, refusal)
 
-    async def _take(self, request):
-        """Hand a message over that wants no reply; its error must not end the link of others."""
+    async def _handle_one_way(self, request):
+        """Handle a one-way message; its error must not close the link."""
         try:
             await self._handler(request)
         except RpcRefused as error:
             logger.warning("message refused", extra={"why": str(error)})
-        except Exception:  # noqa: BLE001 - whatever it was, it concerns this message alone.
+        except Exception:  # noqa: BLE001 - the error affects this message alone.
             logger.exception("message failed")
 
     async def _answer(self, writer, frame, request):
@@ -126,7 +126,7 @@
         await self._write(writer, reply)
 
     async def _write(self, writer, reply):
-        # The peer may have gone meanwhile; it then asks again over a new link.
+        # The peer may have disconnected; it then repeats the request over a new link.
         with contextlib.suppress(RuntimeError, OSError):
             write_frame(writer, reply)
             await writer.drain()
--- a/traystall/rpc/traffic.py
+++ b/traystall/rpc/traffic.py
@@ -1,7 +1,7 @@
-"""What a process's links carry: bytes and calls by kind of message, late replies, unsent bytes.
+"""Traffic of a process's links: bytes and calls by message type, late replies, unsent bytes.
 
-Counts are kept as plain numbers, because they change with every frame; they become metrics
-when somebody reads the metrics.
+Counts are kept as plain numbers because they change with every frame; they are published
+as metrics when the metrics are rendered.
 """
 
 import asyncio
@@ -11,12 +11,12 @@
 from traystall.core.exceptions import RpcRefused, RpcTimeout, RpcUnavailable
 from traystall.rpc.gen.wire.ttypes import Method
 
-# The kind of a frame that can't be read or whose method this process does not know.
+# Label of a frame that can't be decoded or whose method this process does not know.
 UNKNOWN_KIND = "unknown"
-# Peers say themselves which role they have; any other word is counted as one of these.
+# Peers report their own role; an unknown role is counted under this label.
 OTHER_ROLE = "other"
 _ROLES = ("control", "gateway", "operator", OTHER_ROLE)
-# A link knows the address it was opened to, and not the role that answers there.
+# An opened link knows the address of its peer but not the role of the peer.
 _ANY_ROLE = "any"
 
 _ACCEPTED = "accepted"
@@ -78,17 +78,17 @@
 
 
 def watch_opened(writer: asyncio.StreamWriter) -> None:
-    """Let the unsent bytes of a link that this process opened be told."""
+    """Start to report the unsent bytes of a link that this process opened."""
     _open_writers[writer] = (_OPENED, _ANY_ROLE)
 
 
 def watch_accepted(writer: asyncio.StreamWriter, role: str | None) -> None:
-    """Let the unsent bytes of a link that a peer of `role` opened be told."""
+    """Start to report the unsent bytes of a link that a peer of `role` opened."""
     _open_writers[writer] = (_ACCEPTED, role if role in _ROLES else OTHER_ROLE)
 
 
-def forget(writer: asyncio.StreamWriter) -> None:
-    """Stop telling of a link that is closed."""
+def unwatch(writer: asyncio.StreamWriter) -> None:
+    """Stop reporting a closed link."""
     _open_writers.pop(writer, None)
 
 
