--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -8,7 +8,7 @@
 
 from tests.support.emulator.gateway import run
 from traystall.core import clock
-from traystall.http.connection import Bounds
+from traystall.http.connection import ConnectionLimits
 from traystall.http.messages import Response, text_response
 from traystall.http.server import HttpServer
 
@@ -347,7 +347,7 @@
 @pytest.mark.parametrize(("sent", "status"), [(b"GET / HT", 408), (b"", 0)])
 def test_slow_heads_and_idle_connections_are_closed(sent, status):
     async def play():
-        async with _Site(bounds=Bounds(head_seconds=5.0, idle_seconds=20.0)) as site:
+        async with _Site(bounds=ConnectionLimits(head_seconds=5.0, idle_seconds=20.0)) as site:
             site.writer.write(sent)
             await asyncio.sleep(0.02)
             (connection,) = site.server._connections
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -100,7 +100,7 @@
     node = NodeFile.parse(
         "ip=10.1.0.44\nseeds=10.1.0.44:8628,10.2.0.27:8628\nport-range=7740,7755\nx"
     )
-    assert node.control_links() == ["10.1.0.44:7740", "10.2.0.27:7740"]
+    assert node.control_rpc_addresses() == ["10.1.0.44:7740", "10.2.0.27:7740"]
     assert node.number("bounds.grace-s", 8.0) == 8.0
     assert not node.is_true("bootstrap")
 
--- a/traystall/http/__init__.py
+++ b/traystall/http/__init__.py
@@ -1,1 +1,1 @@
-"""An HTTP/1.1 server over httptools that starts in a tenth of a larger library's time."""
+"""A small HTTP/1.1 server over httptools; it starts in a tenth of a larger library's time."""
--- a/traystall/http/connection.py
+++ b/traystall/http/connection.py
@@ -1,4 +1,4 @@
-"""One connection of a caller: requests are parsed by httptools and answered in their order."""
+"""One client connection: httptools parses the requests, which are answered in order."""
 
 import asyncio
 import logging
@@ -12,76 +12,78 @@
 from traystall.http.messages import Header, Response, encode_response, text_response
 from traystall.http.request import Request
 
-# Returns a whole answer, or None if the answer was written in parts.
+# Returns a whole response, or None if the response was streamed.
 Handler = Callable[[Request], Awaitable[Response | None]]
 
-# Reading stops while this many bytes of a body wait for their reader.
-_HIGH_WATER = 256 * 1024
+# Reading from the socket pauses while the unread part of a body exceeds this size in bytes.
+_HIGH_WATER_BYTES = 256 * 1024
 
 logger = logging.getLogger(__name__)
 
 
-class Bounds(msgspec.Struct, frozen=True):
-    """Bound what a caller may send and how long it may take: bytes and seconds."""
+class ConnectionLimits(msgspec.Struct, frozen=True):
+    """Limit the size and the duration of what a client sends."""
 
     head_bytes: int = 64 * 1024
     head_seconds: float = 10.0
-    # Kept connections are closed only after this long without a request.
+    # Keep-alive connections are closed after this long without a request.
     idle_seconds: float = 60.0
-    # An answer that came before the end of its request's body: how long the rest is still read,
-    # so that the caller gets the answer and not a reset.
+    # After a response that precedes the end of the request body, the rest of the body is read
+    # for this long, so that the client gets the response and not a connection reset.
     linger_seconds: float = 2.0
 
 
 class ServerConnection(asyncio.Protocol):
-    """Read requests and answer one after the other."""
+    """Read requests and answer them one at a time."""
 
-    def __init__(self, handler: Handler, bounds: Bounds, connections: set["ServerConnection"]):
+    def __init__(
+        self, handler: Handler, bounds: ConnectionLimits, connections: set["ServerConnection"]
+    ):
         self._handler = handler
-        self._bounds = bounds
+        self._limits = bounds
         self._connections = connections
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
         self._target = b""
         self._headers: list[Header] = []
         self._head_bytes = 0
-        # The request whose body is being read, the one being answered, those to be answered next.
+        # The request whose body is being read, the one being answered, and the queued ones.
         self._reading: Request | None = None
         self._answering: Request | None = None
         self._next: deque[Request] = deque()
         self._task: asyncio.Task | None = None
-        self._in_head = False
-        self._is_spoiled = False
-        self._closes = False
-        self._since = clock.monotonic()
-        self._lingers_since: float | None = None
+        self._reading_head = False
+        self._has_failed = False
+        self._close_after_response = False
+        self._state_since = clock.monotonic()
+        self._lingering_since: float | None = None
         self._drained: asyncio.Future | None = None
         self._is_paused = False
 
     @property
     def is_idle(self) -> bool:
-        """Return whether nothing of a request is here and no answer is owed."""
-        return self._answering is None and self._reading is None and not self._in_head
+        """Return whether no request is being received and no response is pending."""
+        return self._answering is None and self._reading is None and not self._reading_head
 
     # ---- what a request calls ----
 
     def write(self, data: bytes) -> None:
-        """Send bytes to the caller, unless it has gone."""
+        """Send bytes to the client, unless it has disconnected."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(data)
 
     async def drained(self) -> None:
-        """Return once the caller has taken enough of what was sent."""
+        """Return once the write buffer is below its high-water mark."""
         if self._drained is not None:
             await self._drained
 
     def abort(self) -> None:
-        """Break the connection off."""
+        """Close the connection immediately, without sending buffered data."""
         if self._transport is not None:
             self._transport.abort()
 
-    def wants_body(self) -> None:
-        """Read on: what had come of the body was taken."""
+    def resume_body(self) -> None:
+        """Resume reading after the received part of the body was consumed."""
         if self._is_paused and not self._next and not self._transport.is_closing():
             self._is_paused = False
             self._transport.resume_reading()
@@ -89,20 +91,24 @@
     # ---- what the server calls ----
 
     def close(self) -> None:
-        """Close once what was written is sent."""
+        """Close the connection after the buffered data is sent."""
         if self._transport is not None:
             self._transport.close()
 
     def sweep(self, now: float) -> None:
-        """Close a connection that rested for too long or that sends its request too slowly."""
-        bounds = self._bounds
-        if self._lingers_since is not None:
-            if now - self._lingers_since > bounds.linger_seconds:
+        """Close a connection that was idle for too long or sends a request head too slowly."""
+        bounds = self._limits
+        if self._lingering_since is not None:
+            if now - self._lingering_since > bounds.linger_seconds:
                 self.close()
-        elif self.is_idle and now - self._since > bounds.idle_seconds:
+        elif self.is_idle and now - self._state_since > bounds.idle_seconds:
             self.close()
-        elif self._in_head and self._answering is None and now - self._since > bounds.head_seconds:
-            self._spoil(408, "The head of the request takes too long.")
+        elif (
+            self._reading_head
+            and self._answering is None
+            and now - self._state_since > bounds.head_seconds
+        ):
+            self._fail(408, "The head of the request takes too long.")
 
     # ---- asyncio.Protocol ----
 
@@ -112,7 +118,7 @@
         self._connections.add(self)
 
     def connection_lost(self, exc):
-        """Give up what the caller can't get any more."""
+        """Cancel the work for a client that has disconnected."""
         self._connections.discard(self)
         if self._reading is not None:
             self._reading.fail_body("The caller has gone.")
@@ -121,32 +127,32 @@
         self.resume_writing()
 
     def pause_writing(self):
-        """Let whoever writes wait."""
+        """Make `drained` wait."""
         self._drained = asyncio.get_running_loop().create_future()
 
     def resume_writing(self):
-        """Let whoever writes go on."""
+        """Release the waiters of `drained`."""
         if self._drained is not None and not self._drained.done():
             self._drained.set_result(None)
         self._drained = None
 
     def data_received(self, data):
-        """Parse what came."""
-        if self._is_spoiled:
+        """Parse received bytes."""
+        if self._has_failed:
             return
-        was_in_head = self._in_head
+        was_in_head = self._reading_head
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            # No other protocol is spoken here: the request is answered as any other, the last one.
-            self._is_spoiled = self._closes = True
+            # Protocol upgrades are not supported: the request is answered as the last one.
+            self._has_failed = self._close_after_response = True
         except httptools.HttpParserError as error:
-            self._spoil(400, f"What came is no request: {error}.")
-        if self._in_head and was_in_head:
-            # The parser keeps a name or value to itself until its end has come.
+            self._fail(400, f"What came is no request: {error}.")
+        if self._reading_head and was_in_head:
+            # The parser buffers a header name or value until it is complete.
             self._head_bytes += len(data)
-            if self._head_bytes > self._bounds.head_bytes:
-                self._spoil(431, "The head of the request is too large.")
+            if self._head_bytes > self._limits.head_bytes:
+                self._fail(431, "The head of the request is too large.")
 
     # ---- httptools ----
 
@@ -155,8 +161,8 @@
         self._target = b""
         self._headers = []
         self._head_bytes = 0
-        self._in_head = True
-        self._since = clock.monotonic()
+        self._reading_head = True
+        self._state_since = clock.monotonic()
 
     def on_url(self, part):
         """Keep a part of the target."""
@@ -168,16 +174,16 @@
 
     def on_headers_complete(self):
         """Begin to answer, or queue the request behind the one that is being answered."""
-        self._in_head = False
-        if self._is_spoiled:
-            return  # The parser goes on to the end of what it was fed.
-        if self._head_size() > self._bounds.head_bytes:
-            self._spoil(431, "The head of the request is too large.")
+        self._reading_head = False
+        if self._has_failed:
+            return  # The parser continues to the end of the data that it was given.
+        if self._head_size() > self._limits.head_bytes:
+            self._fail(431, "The head of the request is too large.")
             return
         parser = self._parser
         if parser.should_upgrade() and self._has_body():
-            # The parser takes the bytes after such a head for another protocol's.
-            self._spoil(400, "No other protocol is spoken here.")
+            # The parser treats the bytes after such a head as data of another protocol.
+            self._fail(400, "No other protocol is spoken here.")
             return
         is_current = parser.get_http_version() != "1.0"
         request = self._reading = Request(
@@ -189,29 +195,29 @@
             chunks_allowed=is_current,
         )
         if self._answering is None:
-            self._begin(request)
+            self._start_response(request)
         else:
             self._next.append(request)
             self._pause()
 
     def on_body(self, data):
-        """Hand a part of the body to its request."""
+        """Pass a part of the body to its request."""
         request = self._reading
         if request is None:
             return
-        request.add_part(data)
-        if request.waiting_bytes > _HIGH_WATER:
+        request.add_body_part(data)
+        if request.unread_bytes > _HIGH_WATER_BYTES:
             self._pause()
 
     def on_message_complete(self):
-        """End the body; an answer that did not wait for it is over now."""
+        """End the body; this also completes a response that was sent before it."""
         request, self._reading = self._reading, None
         if request is None:
             return
         request.end_body()
-        if self._lingers_since is not None:
-            self._lingers_since = None
-            self._go_on(request)
+        if self._lingering_since is not None:
+            self._lingering_since = None
+            self._start_next(request)
 
     # ---- helpers ----
 
@@ -227,7 +233,7 @@
             self._is_paused = True
             self._transport.pause_reading()
 
-    def _begin(self, request):
+    def _start_response(self, request):
         self._answering = request
         self._task = asyncio.get_running_loop().create_task(self._answer(request))
 
@@ -235,13 +241,13 @@
         try:
             response = await self._handler(request)
         except Exception:
-            # A fault of ours: the caller must not wait for an answer that won't come.
+            # The handler failed: the client must get an error instead of waiting.
             logger.exception("request failed")
             response = None if request.has_begun else text_response(500, "internal error\n")
             if response is None:
                 request.abort()
         if response is not None:
-            request.keep_alive = request.keep_alive and not self._closes
+            request.keep_alive = request.keep_alive and not self._close_after_response
             with_body = request.method != "HEAD"
             self.write(encode_response(response, not request.keep_alive, with_body))
         elif not request.has_ended:
@@ -249,35 +255,35 @@
         self._finish(request)
 
     def _finish(self, request):
-        """Go on to the next request, once the whole of this one has come."""
-        if request.is_whole or self._is_spoiled:
-            self._go_on(request)
+        """Start the next request, or first read the rest of the current request body."""
+        if request.is_whole or self._has_failed:
+            self._start_next(request)
             return
         request.discard_body()
-        self._lingers_since = clock.monotonic()
-        self.wants_body()
+        self._lingering_since = clock.monotonic()
+        self.resume_body()
 
-    def _go_on(self, request):
+    def _start_next(self, request):
         self._answering = self._task = None
-        self._since = clock.monotonic()
-        if not request.keep_alive or (self._closes and not self._next):
+        self._state_since = clock.monotonic()
+        if not request.keep_alive or (self._close_after_response and not self._next):
             self.close()
         if self._transport.is_closing():
             return
         if self._next:
-            self._begin(self._next.popleft())
-        self.wants_body()
+            self._start_response(self._next.popleft())
+        self.resume_body()
 
-    def _spoil(self, status, why):
-        """Read nothing more; tell the caller why, after the answers that it is still owed."""
-        if self._is_spoiled:
+    def _fail(self, status, why):
+        """Stop reading; report the error to the client after the pending responses."""
+        if self._has_failed:
             return
-        self._is_spoiled = self._closes = True
-        self._in_head = False
+        self._has_failed = self._close_after_response = True
+        self._reading_head = False
         logger.info("request not read", extra={"status": status, "why": why})
         if self._reading is not None:
             self._reading.fail_body(why)
             self._reading = None
         if self._answering is None:
             self.write(encode_response(text_response(status, f"{why}\n"), close=True))
-            self._lingers_since = clock.monotonic()
+            self._lingering_since = clock.monotonic()
--- a/traystall/http/exceptions.py
+++ b/traystall/http/exceptions.py
@@ -1,15 +1,15 @@
-"""Errors of a caller's connection."""
+"""Errors of client connections."""
 
 from traystall.core.exceptions import TraystallError
 
 
 class HttpError(TraystallError):
-    """Be the base of what is wrong with a request as it came."""
+    """Base of errors in a received request."""
 
 
 class BodyTooLarge(HttpError):
-    """Report a body over the limit that its reader set."""
+    """The body exceeds the limit that its reader set."""
 
 
 class BodyBroken(HttpError):
-    """Report a body that can't be read or that its caller never finished."""
+    """The body is invalid or incomplete."""
--- a/traystall/http/health.py
+++ b/traystall/http/health.py
@@ -1,4 +1,4 @@
-"""Serve the pages of a daemon's health."""
+"""Serve the health check and metrics pages of a daemon."""
 
 from collections.abc import Callable
 
--- a/traystall/http/messages.py
+++ b/traystall/http/messages.py
@@ -1,6 +1,6 @@
-"""Answers, and how they are written. Pure.
+"""Responses and their encoding. Pure.
 
-Header names and values are bytes, as they go over the wire.
+Header names and values are bytes, as on the wire.
 """
 
 from http import HTTPStatus
@@ -10,13 +10,13 @@
 Header = tuple[bytes, bytes]
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-# The end of a body that is sent in chunks.
+# End of a body in chunked transfer encoding.
 LAST_CHUNK = b"0\r\n\r\n"
 _BODILESS = (204, 304)
 
 
 class Response(msgspec.Struct):
-    """Hold a whole answer."""
+    """Hold a whole response."""
 
     status: int
     headers: list[Header] = []
@@ -24,18 +24,18 @@
 
 
 def text_response(status: int, text: str, headers: list[Header] | None = None) -> Response:
-    """Return an answer of plain text."""
+    """Return a plain text response."""
     own = (b"Content-Type", b"text/plain; charset=utf-8")
     return Response(status, [own, *(headers or [])], text.encode())
 
 
 def json_response(value: object, status: int = 200) -> Response:
-    """Return an answer that holds `value` as JSON."""
+    """Return a response with `value` as JSON."""
     return Response(status, [(b"Content-Type", b"application/json")], msgspec.json.encode(value))
 
 
 def encode_head(status: int, headers: list[Header], framing: list[Header], close: bool) -> bytes:
-    """Return the head of an answer; `framing` says where its body ends."""
+    """Return the head of a response; `framing` holds the headers that delimit the body."""
     lines = [b"HTTP/1.1 %d %s" % (status, _reason(status))]
     lines += [name + b": " + value for name, value in (*headers, *framing)]
     if close:
@@ -44,7 +44,7 @@
 
 
 def encode_response(response: Response, close: bool, with_body: bool = True) -> bytes:
-    """Return a whole answer; the one to a HEAD request goes without its body."""
+    """Return an encoded response; the response to a HEAD request has no body."""
     if response.status in _BODILESS:
         return encode_head(response.status, response.headers, [], close)
     framing = [(b"Content-Length", b"%d" % len(response.body))]
@@ -53,7 +53,7 @@
 
 
 def encode_chunk(data: bytes) -> bytes:
-    """Return one chunk of a body; empty data would end the body, and gives nothing."""
+    """Return one chunk of a body, or nothing for empty data, which would end the body."""
     return b"%x\r\n%b\r\n" % (len(data), data) if data else b""
 
 
--- a/traystall/http/request.py
+++ b/traystall/http/request.py
@@ -1,4 +1,4 @@
-"""One request of a caller, its body as it comes, and the answer that is written to it."""
+"""One request of a client: its body as a stream, and the streamed response."""
 
 import asyncio
 from collections import deque
@@ -10,23 +10,23 @@
 
 
 class Connection(Protocol):
-    """What a request needs of the connection on which it came."""
+    """The interface of a connection that a request uses."""
 
     def write(self, data: bytes) -> None:
-        """Send bytes to the caller."""
+        """Send bytes to the client."""
 
     async def drained(self) -> None:
-        """Return once the caller has taken enough of what was sent."""
+        """Return once the write buffer is below its high-water mark."""
 
     def abort(self) -> None:
-        """Break the connection off."""
+        """Close the connection immediately, without sending buffered data."""
 
-    def wants_body(self) -> None:
-        """Read on: what had come of the body was taken."""
+    def resume_body(self) -> None:
+        """Resume reading after the received part of the body was consumed."""
 
 
 class Request:
-    """Hold one request; `target` is the path and query exactly as they came."""
+    """Hold one request; `target` is the path and query exactly as received."""
 
     def __init__(
         self,
@@ -42,17 +42,17 @@
         self.method = method
         self.target = target
         self.headers = headers
-        # Whether the connection stays open after the answer; may be taken back until it ends.
+        # Whether the connection stays open after the response; may be cleared until its end.
         self.keep_alive = keep_alive
         self._chunks_allowed = chunks_allowed
         self._parts: deque[bytes] = deque()
         self._waiter: asyncio.Future | None = None
         self._error: BodyBroken | None = None
-        # Whether the whole body has come.
+        # Whether the whole body has been received.
         self.is_whole = False
-        # Whether what comes of the body is of no use any more.
-        self.is_discarded = False
-        # Whether an answer has begun to be written in parts.
+        # Whether further parts of the body are dropped.
+        self.discards_body = False
+        # Whether a streamed response has started.
         self.has_begun = False
         self.has_ended = False
 
@@ -62,8 +62,8 @@
         return self.target.partition("?")[0]
 
     @property
-    def waiting_bytes(self) -> int:
-        """Return how much of the body waits for its reader."""
+    def unread_bytes(self) -> int:
+        """Return the size of the received body parts that are not read yet."""
         return sum(map(len, self._parts))
 
     def get(self, name: str, default: str = "") -> str:
@@ -90,7 +90,7 @@
     # ---- an answer in parts ----
 
     def begin(self, status: int, headers: list[Header]) -> None:
-        """Begin an answer whose length is not known yet."""
+        """Start a streamed response, whose length is not known yet."""
         self.has_begun = True
         framing = []
         if self._chunks_allowed:
@@ -100,7 +100,7 @@
         self.connection.write(messages.encode_head(status, headers, framing, not self.keep_alive))
 
     async def write(self, data: bytes) -> None:
-        """Send a part of the body; return once the caller keeps up."""
+        """Send a part of the body; return once the write buffer has drained."""
         self.connection.write(messages.encode_chunk(data) if self._chunks_allowed else data)
         await self.connection.drained()
 
@@ -111,30 +111,30 @@
             self.connection.write(messages.LAST_CHUNK)
 
     def abort(self) -> None:
-        """Break the connection off: what was sent must not be taken for whole."""
+        """Close the connection immediately, so that the response is not taken as complete."""
         self.connection.abort()
 
     # ---- what the connection calls ----
 
-    def add_part(self, data: bytes) -> None:
-        """Take in a part of the body."""
-        if not self.is_discarded:
+    def add_body_part(self, data: bytes) -> None:
+        """Queue a received part of the body."""
+        if not self.discards_body:
             self._parts.append(data)
             self._wake()
 
     def end_body(self) -> None:
-        """Note that the whole body has come."""
+        """Mark the body as complete."""
         self.is_whole = True
         self._wake()
 
     def fail_body(self, why: str) -> None:
-        """Note that the rest of the body won't come."""
+        """Make further reads of the body fail with `why`."""
         self._error = BodyBroken(why)
         self._wake()
 
     def discard_body(self) -> None:
-        """Drop what has come of the body and what still comes."""
-        self.is_discarded = True
+        """Drop the received and all further parts of the body."""
+        self.discards_body = True
         self._parts.clear()
 
     def _wake(self):
@@ -147,7 +147,7 @@
                 return b""
             if self._error is not None:
                 raise self._error
-            self.connection.wants_body()
+            self.connection.resume_body()
             self._waiter = asyncio.get_running_loop().create_future()
             await self._waiter
         return self._parts.popleft()
--- a/traystall/http/router.py
+++ b/traystall/http/router.py
@@ -1,4 +1,4 @@
-"""Find who answers a request of a small interface, by its method and path."""
+"""Route the requests of a small HTTP interface by method and path."""
 
 from collections.abc import Awaitable, Callable
 from urllib.parse import unquote
@@ -6,26 +6,26 @@
 from traystall.http.messages import Response, text_response
 from traystall.http.request import Request
 
-# Gets the request and what stands in place of `{}` in its path.
+# Takes the request and the value of the path parameter `{}`.
 PathHandler = Callable[[Request, str], Awaitable[Response]]
 
-_GAP = "{}"
+_PARAMETER = "{}"
 
 
 class Router:
-    """Hold the paths of an interface; one that ends in `{}` takes any last part."""
+    """Hold the routes of an interface; a path that ends in `{}` matches any last segment."""
 
     def __init__(self):
         self._handlers: dict[str, dict[str, PathHandler]] = {}
 
     def add(self, method: str, path: str, handler: PathHandler) -> None:
-        """Let `handler` answer what comes with `method` at `path`."""
+        """Register `handler` for requests with `method` at `path`."""
         self._handlers.setdefault(path, {})[method] = handler
 
     async def handle(self, request: Request) -> Response:
-        """Return the answer to a request."""
+        """Return the response to a request."""
         head, _, last = request.path.rpartition("/")
-        methods = self._handlers.get(request.path) or self._handlers.get(f"{head}/{_GAP}")
+        methods = self._handlers.get(request.path) or self._handlers.get(f"{head}/{_PARAMETER}")
         if methods is None or (not last and request.path not in self._handlers):
             return text_response(404, "not found\n")
         method = "GET" if request.method == "HEAD" else request.method
