--- a/tests/catalog/test_highest.py
+++ b/tests/catalog/test_highest.py
@@ -1,4 +1,4 @@
-"""The highest number wins; equal and lower ones are acknowledged and change nothing."""
+"""Rule `highest`: a higher number replaces the content; others are acknowledged and ignored."""
 
 import itertools
 
--- a/tests/catalog/test_state.py
+++ b/tests/catalog/test_state.py
@@ -1,4 +1,4 @@
-"""The catalog against a naive version: one content a number, resends change nothing."""
+"""The catalog against a naive model: one content per number; resending changes nothing."""
 
 import random
 
--- a/tests/catalog/test_transfers.py
+++ b/tests/catalog/test_transfers.py
@@ -1,4 +1,4 @@
-"""Packed copies in chunks: any split, any source and any loss give the same revision, once."""
+"""Chunked transfer yields the same revision for any chunk sizes, sources and lost chunks."""
 
 import random
 
@@ -35,7 +35,7 @@
 @settings(deadline=None, derandomize=True)
 @given(new=ENTITIES, seed=st.integers())
 def test_bytes_do_not_depend_on_the_order_of_entities(new, seed):
-    """Another source must be able to go on in the middle."""
+    """Another source must be able to continue a transfer, so its packed bytes must be equal."""
     keys = list(new)
     random.Random(seed).shuffle(keys)
     shuffled = {key: new[key] for key in keys}
@@ -98,7 +98,7 @@
 
 
 def test_what_failures_in_a_row_waste_is_bounded():
-    """Late chunks are thrown away: the sizes in a row add up to less than two of the first."""
+    """Late chunks are discarded: consecutive ones add up to less than two initial chunks."""
     pace, wasted = ChunkPace(), 0
     for _ in range(4):
         wasted += pace.bytes
@@ -110,7 +110,7 @@
 
 
 def test_deltas_of_renamed_entities_take_linear_time():
-    """All of 4,000 keys move, as positions do when a route is put before the others."""
+    """All 4,000 keys change, as happens when a route is inserted before the others."""
     old = {f"routes/{i:06d}": b"%d" % i for i in range(4000)}
     new = {f"routes/{i + 9000:06d}": b"%d" % i for i in range(4000)}
     delta = make_delta(old, new)
@@ -122,7 +122,7 @@
 @settings(deadline=None, derandomize=True)
 @given(old=ENTITIES, new=ENTITIES)
 def test_entities_are_kept_in_order_of_their_keys(old, new):
-    """What is packed next is then packed in linear time."""
+    """Packing sorted entities takes linear time."""
     delta = make_delta(old, new)
     assert list(delta.puts) == sorted(delta.puts)
     result = apply_delta(old, entities_digest(old), delta)
--- a/tests/cli/test_quarantine.py
+++ b/tests/cli/test_quarantine.py
@@ -1,4 +1,4 @@
-"""The operators' commands about requests that end their targets."""
+"""Commands for quarantined requests, during which targets have ended."""
 
 import asyncio
 import json
--- a/tests/cli/test_reference.py
+++ b/tests/cli/test_reference.py
@@ -1,4 +1,4 @@
-"""The reference pages say what the code says, and packages depend downwards only."""
+"""The reference pages match the code, and packages import only packages of lower layers."""
 
 import ast
 import contextlib
@@ -123,7 +123,7 @@
 
 @pytest.mark.parametrize("words", [["--help"], ["--unknown", "x"], ["--folder"], []])
 def test_words_that_name_no_folder_write_nothing(tmp_path, monkeypatch, words):
-    """A folder named `--help` came of a program that took its first word for a path."""
+    """Guards against a parser that takes a flag such as `--help` as the path of the folder."""
     monkeypatch.chdir(tmp_path)
     monkeypatch.setattr("sys.argv", ["reference", *words])
     with contextlib.suppress(SystemExit):
--- a/tests/cli/test_rests.py
+++ b/tests/cli/test_rests.py
@@ -1,4 +1,4 @@
-"""Operators see who has asked a gateway for rest, and lift it."""
+"""Commands that show and lift the backoff periods that targets requested from a gateway."""
 
 import asyncio
 import json
@@ -18,7 +18,7 @@
 SECRET = "the secret of the cluster"
 
 
-def play(story, secret=SECRET):
+def run_scenario(scenario, secret=SECRET):
     """Run `story(gateway, address)` on a gateway with two targets, one of them at rest."""
 
     async def bounded():
@@ -31,7 +31,7 @@
             LimitPages(gateway.context.board, gateway.context.permits).add_to(router)
             server = HttpServer(router.handle)
             await server.listen("127.0.0.1:0")
-            await story(gateway, f"127.0.0.1:{server.port}")
+            await scenario(gateway, f"127.0.0.1:{server.port}")
             await server.close(0.0)
         for _, target in targets:
             await target.stop()
@@ -40,7 +40,7 @@
 
 
 def test_list_shows_who_rests_until_when_and_at_whose_word(capsys):
-    async def story(gateway, address):
+    async def scenario(gateway, address):
         leaving = gateway.context.board.view("t-1").availability
         leaving.leaves = True
         await asyncio.to_thread(Rests("", "json").list, address)
@@ -56,11 +56,11 @@
         }
         assert (leaves["target"], leaves["leaves"], leaves["rests_seconds"]) == ("t-1", True, 0.0)
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_list_shows_who_is_limited_to_what_by_whose_word_and_what_was_lent(capsys):
-    async def story(gateway, address):
+    async def scenario(gateway, address):
         permits, now = gateway.context.permits, clock.monotonic()
         permits.observe_answer("t-1", AnnouncedLimit(2.5), now, "r-named")
         await permits.take("t-1", "here")
@@ -79,12 +79,12 @@
             "lent_here": 1,
         }
 
-    play(story)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("secret", [SECRET, ""])
 def test_lift_lets_work_go_there_again(capsys, secret):
-    async def story(gateway, address):
+    async def scenario(gateway, address):
         now = clock.monotonic()
         assert not gateway.context.board.view("t-0").availability.may_send_work(now)
         await asyncio.to_thread(Rests(secret, "json").lift, address, "t-0")
@@ -93,24 +93,24 @@
         await asyncio.to_thread(Rests(secret, "json").lift, address, "t-0")
         assert json.loads(capsys.readouterr().out) == {"lifted": False}
 
-    play(story, secret)
+    run_scenario(scenario, secret)
 
 
 def test_lift_without_the_secret_is_refused():
-    async def story(gateway, address):
+    async def scenario(gateway, address):
         for secret in ("", "another"):
             with pytest.raises(Refused, match="forbidden"):
                 await asyncio.to_thread(Rests(secret, "json").lift, address, "t-0")
         assert gateway.context.board.view("t-0").availability.is_backing_off(clock.monotonic())
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_unknown_target_and_silent_gateway_are_clear_errors():
-    async def story(gateway, address):
+    async def scenario(gateway, address):
         with pytest.raises(Refused, match="no-target"):
             await asyncio.to_thread(Rests(SECRET, "json").lift, address, "t-9")
 
-    play(story)
+    run_scenario(scenario)
     with pytest.raises(Unreachable):
         Rests(SECRET, "json").list("127.0.0.1:1")
--- a/tests/cli/test_trace.py
+++ b/tests/cli/test_trace.py
@@ -33,7 +33,7 @@
     found = trace("r-1", filter(None, map(read_line, LINES)))
     assert found.outcome == "refused-busy"
     assert [step.message for step in found.steps] == ["not-admitted", "passed"]
-    assert [(other.instance, other.message) for other in found.circumstances] == [
+    assert [(other.instance, other.message) for other in found.context_lines] == [
         ("g-1", "pieces-failed")
     ]
     assert found.steps[0].text() == "02 g-2 not-admitted wait=0.4"
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -1,4 +1,4 @@
-"""The server of callers, over raw sockets: framing, order, early answers, leavers, stops."""
+"""The HTTP server over raw sockets: framing, order, early responses, disconnects, shutdown."""
 
 import asyncio
 
--- a/tests/platform/test_control_api.py
+++ b/tests/platform/test_control_api.py
@@ -1,4 +1,4 @@
-"""The operator's orders to empty a zone and to take that back, over HTTP."""
+"""The platform's HTTP interface of a control daemon: evacuation orders and heartbeats."""
 
 import asyncio
 import contextlib
@@ -46,17 +46,17 @@
 
 
 def test_orders_are_passed_to_the_leader():
-    async def story():
+    async def scenario():
         async with api() as (leader, port):
             assert await send(port, "POST") == 200
             assert await send(port, "DELETE") == 200
             assert leader.orders == [("north", True), ("north", False)]
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_unknown_zone_is_a_404_and_doubt_a_503():
-    async def story():
+    async def scenario():
         for error, status in (
             (RpcRefused(UNKNOWN_DATA_CENTRE, "no such"), 404),
             (RpcRefused("in-doubt", "no majority"), 503),
@@ -65,13 +65,13 @@
             async with api(error) as (_, port):
                 assert await send(port, "POST", "nowhere") == status
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_order_whose_sender_left_while_the_process_was_frozen_is_dropped():
-    """It was sent to another daemon since, carried out there, and perhaps taken back."""
+    """The operator may have sent the order to another daemon, and may have revoked it since."""
 
-    async def story():
+    async def scenario():
         async with api() as (leader, port):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(b"POST /traystall/evacuate/north HTTP/1.1\r\nHost: c\r\n\r\n")
@@ -80,7 +80,7 @@
             assert leader.orders == []
             assert await send(port, "POST") == 200
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 class Registry:
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -1,4 +1,4 @@
-"""The operator's documents: split, joined unchanged, and refused with the fault named."""
+"""Operator documents are split and joined without loss; invalid ones are refused with problems."""
 
 import json
 
--- a/tests/platform/test_forged_headers.py
+++ b/tests/platform/test_forged_headers.py
@@ -1,4 +1,4 @@
-"""What only the system may set is never passed on as a caller sent it."""
+"""Headers reserved for the system are removed from client requests before forwarding."""
 
 import pytest
 from traystall_platform.names import HEADERS
--- a/tests/platform/test_names.py
+++ b/tests/platform/test_names.py
@@ -1,4 +1,4 @@
-"""What runners of stages tell, as the product reads it."""
+"""Parsing of the reports of stage runners."""
 
 import pytest
 from traystall_platform.names import RunnerStages
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file becomes the product's settings, and a stop ends in its grace."""
+"""Conversion of the platform's settings file; a drain ends within the grace period."""
 
 import pytest
 from traystall_platform import control, gateway
--- a/tests/processes/test_cut.py
+++ b/tests/processes/test_cut.py
@@ -1,4 +1,4 @@
-"""A data centre cut off in silence: no reset, no error, just nothing."""
+"""A data centre is partitioned silently: connections get no reset and no error."""
 
 import pytest
 
--- a/tests/processes/test_reload.py
+++ b/tests/processes/test_reload.py
@@ -1,4 +1,4 @@
-"""A hang-up signal makes a daemon read its settings again, and nothing else."""
+"""SIGHUP makes a daemon reload its settings and does not stop it."""
 
 import os
 import signal
--- a/tests/rpc/test_link_metrics.py
+++ b/tests/rpc/test_link_metrics.py
@@ -1,4 +1,4 @@
-"""What links tell of themselves: bytes by kind, outcomes and times of calls, late replies."""
+"""Metrics of links: bytes by message type, call outcomes and durations, late replies."""
 
 import asyncio
 import contextlib
--- a/traystall/cli/client.py
+++ b/traystall/cli/client.py
@@ -1,4 +1,4 @@
-"""Calls of the operators' client: find the leader, translate errors, time out."""
+"""Network calls of the operators' client: leader discovery, timeouts and error translation."""
 
 import asyncio
 
@@ -15,42 +15,42 @@
 from traystall.rpc.gen.wire import ttypes
 
 ROLE = "operator"
-_CALL_SECONDS = 4.0
-_RETRY_SECONDS = 0.2
+_CALL_TIMEOUT_SECONDS = 4.0
+_RETRY_DELAY_SECONDS = 0.2
 
 
 class Unreachable(ClientError):
-    """Report that no control daemon answered."""
+    """No control daemon answered."""
 
     exit_code = 1
 
 
 class BadUsage(ClientError):
-    """Report arguments or a bundle that can't be used."""
+    """The arguments or the bundle are invalid."""
 
     exit_code = 2
 
 
 class Conflict(ClientError):
-    """Report that another content holds the number."""
+    """The number is already taken by another content."""
 
     exit_code = 3
 
 
 class InDoubt(ClientError):
-    """Report that the call may have taken effect; sending it again is safe."""
+    """The call may have taken effect; it is safe to send it again."""
 
     exit_code = 4
 
 
 class Refused(ClientError):
-    """Report that the system refused the call."""
+    """The system refused the call."""
 
     exit_code = 5
 
 
 class ControlClient:
-    """Call the control group, wherever its leader is."""
+    """Call the leader of the control group; find it by trying the control daemons in turn."""
 
     def __init__(self, controls: list[str], cluster: str, secret: str, seconds: float):
         if not controls:
@@ -63,8 +63,8 @@
         """Close the links."""
         await self._links.close()
 
-    async def call_leader(self, request, call_seconds: float = _CALL_SECONDS):
-        """Return the leader's reply; raise a ClientError that says what is known."""
+    async def call_leader(self, request, call_seconds: float = _CALL_TIMEOUT_SECONDS):
+        """Return the leader's reply; raise the ClientError that matches the last failure."""
         deadline = clock.monotonic() + self._seconds
         address = self._controls[0]
         in_doubt = False
@@ -79,12 +79,12 @@
                 in_doubt = in_doubt or error.code == "in-doubt"
                 reason = str(error)
                 hint = error.detail if error.code == "not-leader" else ""
-                address = hint or self._after(address)
+                address = hint or self._next_address(address)
             except RpcError as error:
                 in_doubt = in_doubt or isinstance(error, RpcTimeout)
                 reason = str(error)
-                address = self._after(address)
-            await asyncio.sleep(_RETRY_SECONDS)
+                address = self._next_address(address)
+            await asyncio.sleep(_RETRY_DELAY_SECONDS)
         if in_doubt:
             raise InDoubt(f"The call may have taken effect; send it again. Last: {reason}")
         raise Unreachable(f"No leader within {self._seconds:.0f} s: {reason}")
@@ -92,19 +92,21 @@
     async def call_each(self, request) -> dict[str, object]:
         """Return each control daemon's reply, or its error, by address."""
         results = await asyncio.gather(
-            *(self._links.link(a).call(request, _CALL_SECONDS) for a in self._controls),
+            *(self._links.link(a).call(request, _CALL_TIMEOUT_SECONDS) for a in self._controls),
             return_exceptions=True,
         )
         return dict(zip(self._controls, results, strict=True))
 
     async def probe(self, address: str) -> ttypes.ProbeReply:
-        """Return what the daemon at `address` says of itself."""
+        """Return the daemon's probe reply; raise Unreachable if it does not answer."""
         try:
-            return await self._links.link(address).call(ttypes.ProbeRequest(), _CALL_SECONDS)
+            return await self._links.link(address).call(
+                ttypes.ProbeRequest(), _CALL_TIMEOUT_SECONDS
+            )
         except RpcError as error:
             raise Unreachable(f"{address} does not answer: {error}") from error
 
-    def _after(self, address):
+    def _next_address(self, address):
         if address not in self._controls:
             return self._controls[0]
         return self._controls[(self._controls.index(address) + 1) % len(self._controls)]
@@ -127,7 +129,7 @@
 
 async def get_document(url: str) -> dict | None:
     """Return a JSON document, or None if there is none."""
-    timeout = aiohttp.ClientTimeout(total=_CALL_SECONDS)
+    timeout = aiohttp.ClientTimeout(total=_CALL_TIMEOUT_SECONDS)
     try:
         async with (
             aiohttp.ClientSession(timeout=timeout) as session,
@@ -139,8 +141,8 @@
 
 
 async def call_page(method: str, url: str, secret: str) -> tuple[int, dict | None]:
-    """Return status and document of a page of a gateway; (0, None) if it gives none."""
-    timeout = aiohttp.ClientTimeout(total=_CALL_SECONDS)
+    """Return the status and the JSON document of a gateway's page; (0, None) on failure."""
+    timeout = aiohttp.ClientTimeout(total=_CALL_TIMEOUT_SECONDS)
     headers = {"Authorization": f"Bearer {secret}"} if secret else {}
     try:
         async with (
--- a/traystall/cli/costs.py
+++ b/traystall/cli/costs.py
@@ -1,4 +1,4 @@
-"""Add up the cost by stage that the gateways publish as metrics."""
+"""Sum the target time by stage, pipeline or customer from the gateways' metrics."""
 
 import asyncio
 import re
@@ -7,7 +7,7 @@
 
 _LINE = re.compile(r"^(traystall_(?:busy|wasted)_seconds_total)\{(.*)\} (\S+)$")
 _LABEL = re.compile(r'(\w+)="([^"]*)"')
-_SECONDS = 4.0
+_TIMEOUT_SECONDS = 4.0
 GROUPS = ("stage", "pipeline", "customer")
 
 
@@ -40,7 +40,7 @@
 
 
 async def _read(address):
-    timeout = aiohttp.ClientTimeout(total=_SECONDS)
+    timeout = aiohttp.ClientTimeout(total=_TIMEOUT_SECONDS)
     try:
         async with (
             aiohttp.ClientSession(timeout=timeout) as session,
--- a/traystall/cli/evacuations.py
+++ b/traystall/cli/evacuations.py
@@ -1,4 +1,4 @@
-"""Orders to evacuate or restore a data centre, and waiting until every gateway obeys."""
+"""Evacuate or restore a data centre, and wait until every gateway has applied the change."""
 
 import asyncio
 
@@ -9,13 +9,13 @@
 _POLL_SECONDS = 0.1
 
 
-async def carry_out(
+async def send_evacuation_order(
     client: ControlClient, request: ttypes.EvacuateRequest, wait_seconds: float | None
 ) -> dict:
-    """Return the document of an order that was acknowledged.
+    """Send an evacuation order and return the result document.
 
-    With `wait_seconds` return only once all live gateways obey it; raise InDoubt if
-    some don't by then. An order may be sent again in any number.
+    With `wait_seconds`, wait until all live gateways have applied the order; raise InDoubt if
+    some have not by then. The order is idempotent and may be sent again.
     """
     reply = await client.call_leader(request)
     result = {
--- a/traystall/cli/main.py
+++ b/traystall/cli/main.py
@@ -24,14 +24,14 @@
     post_request,
 )
 from traystall.cli.costs import GROUPS, read_costs
-from traystall.cli.evacuations import carry_out
+from traystall.cli.evacuations import send_evacuation_order
 from traystall.cli.members import Members
 from traystall.cli.output import show
 from traystall.cli.quarantine import Quarantine
 from traystall.cli.rests import Limits, Rests
 from traystall.cli.status import status_document
 from traystall.cli.trace import read_line
-from traystall.cli.trace import trace as follow
+from traystall.cli.trace import trace as trace_request
 from traystall.core import clock
 from traystall.core.exceptions import BundleError, ClientError
 from traystall.rpc.gen.wire import ttypes
@@ -176,14 +176,14 @@
         """Follow a request through collected log files: LOGS is FILE,FILE,... or - for input."""
         names = [logs] if isinstance(logs, str) else list(logs)
         names = [part for name in names for part in str(name).split(",")]
-        found = follow(str(request), _log_lines(names))
+        found = trace_request(str(request), _log_lines(names))
         if not found.steps:
             raise Refused(f"No line of these logs names request '{request}'.")
         document = {
             "request": found.request,
             "outcome": found.outcome,
             "steps": [line.text() for line in found.steps],
-            "meanwhile": [line.text() for line in found.circumstances],
+            "meanwhile": [line.text() for line in found.context_lines],
         }
         show(document, self._output)
 
@@ -195,7 +195,7 @@
             token=self._token,
         )
         seconds = self._seconds if wait else None
-        result = self._call_client(lambda client: carry_out(client, request, seconds))
+        result = self._call_client(lambda client: send_evacuation_order(client, request, seconds))
         show(result, self._output)
 
     def _call_client(self, action):
--- a/traystall/cli/members.py
+++ b/traystall/cli/members.py
@@ -5,7 +5,7 @@
 from traystall.rpc.gen.wire import ttypes
 
 # A replacement returns only once it has caught up.
-_CHANGE_SECONDS = 90.0
+_CHANGE_TIMEOUT_SECONDS = 90.0
 
 
 class Members:
@@ -56,7 +56,9 @@
         )
 
     def _run(self, request):
-        reply = self._call_client(lambda client: client.call_leader(request, _CHANGE_SECONDS))
+        reply = self._call_client(
+            lambda client: client.call_leader(request, _CHANGE_TIMEOUT_SECONDS)
+        )
         matched = reply.matched or {}
         show(
             {
--- a/traystall/cli/quarantine.py
+++ b/traystall/cli/quarantine.py
@@ -8,7 +8,7 @@
 
 
 class Quarantine:
-    """Show and lift what is held against requests under which targets have ended."""
+    """Show and lift the quarantine of requests during which targets have ended."""
 
     def __init__(self, call_client, token, output):
         self._call_client = call_client
--- a/traystall/cli/reference.py
+++ b/traystall/cli/reference.py
@@ -78,7 +78,7 @@
 
 
 def problems_page() -> str:
-    """Return the reference of the answers without a result."""
+    """Return the reference of the error responses."""
     lines = ["# Problems", "", "| status | code | meaning |", "|---|---|---|"]
     found = [value for value in vars(problems).values() if isinstance(value, problems.Problem)]
     for problem in sorted(found, key=lambda p: (p.status, p.code)):
@@ -134,7 +134,7 @@
 
 
 def write_pages(*, folder) -> None:
-    """Write every page into FOLDER, which is made if it is missing."""
+    """Write every page into FOLDER; create the folder if it is missing."""
     if isinstance(folder, bool):
         raise SystemExit("--folder wants a path.")
     path = Path(str(folder))
@@ -144,7 +144,7 @@
 
 
 def main() -> None:
-    """Write the pages; flags are read, so that none of them passes for a folder."""
+    """Write the pages; fire parses the flags, so that a flag is never taken as the folder."""
     fire.Fire(write_pages, name="traystall.cli.reference")
 
 
--- a/traystall/cli/status.py
+++ b/traystall/cli/status.py
@@ -1,10 +1,10 @@
-"""What `traystall status` shows."""
+"""The output document of `traystall status`."""
 
 from traystall.rpc.gen.wire import ttypes
 
 
 def status_document(reply: ttypes.StatusReply) -> dict:
-    """Return what `traystall status` shows of a leader's reply."""
+    """Convert a leader's status reply into the output document."""
     gateways = reply.gateways or []
     return {
         "leader": reply.leader,
--- a/traystall/cli/trace.py
+++ b/traystall/cli/trace.py
@@ -1,16 +1,15 @@
-"""Follow one request through collected log lines, from its arrival to its cause. Pure.
+"""Trace one request through collected log lines. Pure.
 
-A line is one JSON object as the daemons write it; whatever a collector has put
-before the object is passed over. Times are compared as text: all daemons write
-them alike.
+Each line holds one JSON object as the daemons write it; a prefix that a log collector
+adds is skipped. Times are compared as strings because all daemons use the same format.
 """
 
 from collections.abc import Iterable
 
 import msgspec
 
-# Lines that say nothing of a request but of what it met at the same time.
-_CIRCUMSTANCES = frozenset(
+# Events that belong to no request but may explain a request at the same instance and time.
+_CONTEXT_EVENTS = frozenset(
     {
         "configuration",
         "data-centre-heard",
@@ -23,13 +22,13 @@
         "watch failed",
     }
 )
-# Fields that every line carries, and those shown apart.
+# Fields that every line has or that are shown separately.
 _COMMON = ("time", "level", "logger", "message", "instance", "data_centre", "request", "taskName")
-_OUTCOME = "passed"
+_OUTCOME_EVENT = "passed"
 
 
 class LogLine(msgspec.Struct, frozen=True):
-    """Hold one log line: when, where, what, and the fields that say why."""
+    """Hold one log line: its time, instance, message, request and other fields."""
 
     time: str
     instance: str
@@ -38,25 +37,25 @@
     fields: tuple[tuple[str, object], ...]
 
     def text(self) -> str:
-        """Return the line for a person."""
+        """Return the line as readable text."""
         fields = " ".join(f"{name}={value}" for name, value in self.fields)
         return f"{self.time} {self.instance} {self.message} {fields}".rstrip()
 
 
 class Trace(msgspec.Struct, frozen=True):
-    """Hold what the logs say of one request, in the order of time.
+    """Hold the log lines of one request, sorted by time.
 
-    `circumstances` are lines of the instances that it touched while it was there.
+    `context_lines` are the context events of the same instances during the request.
     """
 
     request: str
     outcome: str
     steps: tuple[LogLine, ...]
-    circumstances: tuple[LogLine, ...]
+    context_lines: tuple[LogLine, ...]
 
 
 def read_line(text: str) -> LogLine | None:
-    """Return a log line, or None for text that holds none."""
+    """Parse a log line; return None if the text is not one."""
     start = text.find("{")
     if start < 0:
         return None
@@ -77,27 +76,27 @@
 
 
 def trace(request: str, lines: Iterable[LogLine]) -> Trace:
-    """Return what `lines` say of a request; a trace without steps if they don't know it."""
+    """Return the trace of a request; it has no steps if no line names the request."""
     steps = []
     others = []
     for line in lines:
         if line.request == request:
             steps.append(line)
-        elif line.message in _CIRCUMSTANCES:
+        elif line.message in _CONTEXT_EVENTS:
             others.append(line)
     steps.sort(key=lambda line: line.time)
-    return Trace(request, _outcome(steps), tuple(steps), _meanwhile(steps, others))
+    return Trace(request, _outcome(steps), tuple(steps), _context_lines(steps, others))
 
 
 def _outcome(steps) -> str:
     for line in reversed(steps):
-        if line.message == _OUTCOME:
+        if line.message == _OUTCOME_EVENT:
             return str(dict(line.fields).get("outcome", ""))
     return "unknown"
 
 
-def _meanwhile(steps, others) -> tuple[LogLine, ...]:
-    """Return the lines of touched instances and targets between the first and the last step."""
+def _context_lines(steps, others) -> tuple[LogLine, ...]:
+    """Return the context events of the request's instances between its first and last step."""
     if not steps:
         return ()
     first, last = steps[0].time, steps[-1].time
