--- a/tests/processes/test_leaving.py
+++ b/tests/processes/test_leaving.py
@@ -1,4 +1,4 @@
-"""Promises 5 and 6 on real processes: leaving targets, planned stops."""
+"""Real processes: leaving targets get no new work; a planned stop interrupts no request."""
 
 import concurrent.futures
 import http.server
@@ -12,7 +12,7 @@
 
 
 class PlatformList:
-    """Serve the platform's list of instances, as late as the test leaves it."""
+    """Serve the platform's list of instances; it is as current as the test keeps it."""
 
     def __init__(self):
         self.instances = []
@@ -75,7 +75,7 @@
 
 @pytest.mark.parametrize("source", ["list", "target"])
 def test_leaving_target_gets_no_new_work(cluster, platform, source):
-    """One source says leaving, the other goes on saying live: the first is believed."""
+    """One source reports leaving and the other still reports live: leaving takes precedence."""
     target = "scale-api-1" if source == "list" else "scale-api-2"
     platform.instances = [
         {"name": name, "state": "live", "incarnation": "1"} for name in cluster.targets
--- a/tests/processes/test_orders.py
+++ b/tests/processes/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders on real processes: rolling a version while the leader is killed, fenced throughout."""
+"""A rolling version update on real processes keeps its fencing order when the leader is killed."""
 
 from tests.support.cluster import Cluster, wait_until
 
--- a/tests/processes/test_thin_path.py
+++ b/tests/processes/test_thin_path.py
@@ -1,4 +1,4 @@
-"""The whole path in separate processes: answers, clear refusals, and single deaths."""
+"""End-to-end tests in separate processes: responses, refusals and single process failures."""
 
 import json
 
--- a/tests/rpc/test_links.py
+++ b/tests/rpc/test_links.py
@@ -1,4 +1,4 @@
-"""Links between processes: closed transports, foreign clusters, wrong secrets, bad frames."""
+"""Links between processes: closed transports, other clusters, wrong secrets, invalid frames."""
 
 import asyncio
 import contextlib
--- a/traystall/catalog/__init__.py
+++ b/traystall/catalog/__init__.py
@@ -1,1 +1,1 @@
-"""The declared configuration: schema, checks, revisions and deltas."""
+"""The declared configuration: bundles, checks, revisions, deltas and transfers."""
--- a/traystall/catalog/bundle.py
+++ b/traystall/catalog/bundle.py
@@ -1,4 +1,4 @@
-"""Read an operator's bundle: a directory of YAML files that is one unit."""
+"""Read an operator's bundle, a directory of YAML files that is applied as one unit."""
 
 from pathlib import Path
 
@@ -27,7 +27,7 @@
 
 
 class Bundle(msgspec.Struct, frozen=True):
-    """Hold a whole configuration: its number, and its entities typed and encoded."""
+    """Hold a whole configuration: its number and its entities, both decoded and encoded."""
 
     number: int
     entities: dict[str, object]
--- a/traystall/catalog/checks.py
+++ b/traystall/catalog/checks.py
@@ -1,4 +1,4 @@
-"""Check that a bundle's entities fit together; each problem has a stable id and a remedy."""
+"""Check references between a bundle's entities; each problem has a stable id and a remedy."""
 
 from traystall.conf.checks import Problem, check_address
 from traystall.routes.checks import check_table
@@ -26,7 +26,7 @@
 
 
 def _check_routes(entities, places):
-    """Return the problems of routes taken together, and of places that are not declared."""
+    """Return the problems of the routing table and of undeclared data centres in it."""
     rows = list(entities.values())
     keyed = tuple(row for row in rows if isinstance(row, KeyedCustomer))
     table = RoutingTable(
--- a/traystall/catalog/models.py
+++ b/traystall/catalog/models.py
@@ -1,4 +1,4 @@
-"""Commands and answers of the catalog state machine."""
+"""Commands and results of the catalog state machine."""
 
 from enum import StrEnum
 
@@ -8,9 +8,9 @@
 
 
 class NumberRule(StrEnum):
-    """Name the rule by which a catalog takes numbers.
+    """The rule by which a catalog accepts bundle numbers.
 
-    `exact`: one content for each number, the same answer for ever, all others refused.
+    `exact`: one content per number; resending it returns the same result, other content is refused.
     `highest`: the highest number wins; any other is acknowledged and changes nothing.
     """
 
@@ -19,7 +19,7 @@
 
 
 class ApplyOutcome(StrEnum):
-    """Name what became of an apply."""
+    """The outcome of an apply command."""
 
     ACCEPTED = "accepted"
     CONFLICT = "conflict"
@@ -29,7 +29,7 @@
 
 
 class ApplyBundle(msgspec.Struct, frozen=True, tag="apply"):
-    """Ask for a bundle to become revision `number`; `digest` names the operator's content."""
+    """Apply a bundle as revision `number`; `digest` identifies the operator's content."""
 
     number: int
     digest: bytes
@@ -38,7 +38,7 @@
 
 
 class SupersedeBundle(msgspec.Struct, frozen=True, tag="supersede"):
-    """Ask for a bundle to become revision `number` if it is the highest; else change nothing."""
+    """Apply a bundle as revision `number` if that is the highest; otherwise change nothing."""
 
     number: int
     digest: bytes
@@ -47,7 +47,7 @@
 
 
 class Revision(msgspec.Struct, frozen=True):
-    """Remember which content won a number, and who sent it."""
+    """Record which content was accepted for a number, and which operator sent it."""
 
     number: int
     digest: bytes
@@ -55,7 +55,7 @@
 
 
 class ApplyResult(msgspec.Struct, frozen=True):
-    """Answer an apply: `revision` is the one that holds the number, `current` the newest."""
+    """Result of an apply: `revision` is the one that holds the number, `current` the newest."""
 
     outcome: ApplyOutcome
     revision: Revision | None
--- a/traystall/catalog/state.py
+++ b/traystall/catalog/state.py
@@ -29,7 +29,7 @@
 
 
 class Catalog:
-    """Apply bundles in log order and answer what is newest."""
+    """Apply bundles in log order and provide the newest revision."""
 
     def __init__(self):
         self.entities: dict[str, bytes] = {}
@@ -39,7 +39,7 @@
         self._deltas: dict[bytes, Delta] = {}
 
     def lookup(self, number: int, digest: bytes) -> ApplyResult | None:
-        """Return the answer to an apply that is already decided, or None."""
+        """Return the result of an apply that is already decided, or None."""
         holder = self._history.get(number)
         if holder is not None:
             outcome = ApplyOutcome.CONFLICT
@@ -52,7 +52,7 @@
         return None
 
     def apply(self, command: ApplyBundle) -> ApplyResult:
-        """Decide one apply; every replica decides alike."""
+        """Execute one apply command; the result is the same at every replica."""
         decided = self.lookup(command.number, command.digest)
         if decided is not None:
             return decided
@@ -61,13 +61,13 @@
         return self._accept(command)
 
     def lookup_highest(self, number: int) -> ApplyResult | None:
-        """Return the answer to a number that is not above the one held, or None."""
+        """Return the result for a number that is not above the current one, or None."""
         if number > self.number:
             return None
         return ApplyResult(ApplyOutcome.ACCEPTED, None, self.number, resent=True)
 
     def supersede(self, command: SupersedeBundle) -> ApplyResult:
-        """Decide one apply under the rule that the highest number wins."""
+        """Execute one apply command under the rule `highest`."""
         decided = self.lookup_highest(command.number)
         if decided is not None:
             return decided
--- a/traystall/catalog/transfers.py
+++ b/traystall/catalog/transfers.py
@@ -34,7 +34,7 @@
 
 
 class RevisionCopy(msgspec.Struct, frozen=True):
-    """Hold what leads to the revision with digest `result`: from `base`, or all of it if `full`."""
+    """Hold the revision with digest `result`: as a delta from `base`, or whole if `full`."""
 
     full: bool
     base: bytes
@@ -44,7 +44,7 @@
 
 
 class PackedCopy(msgspec.Struct, frozen=True):
-    """Hold a packed copy; `digest` names its bytes, so that they can come from several sources."""
+    """Hold a packed copy; `digest` identifies its bytes, which may come from several sources."""
 
     digest: bytes
     data: bytes
@@ -127,14 +127,14 @@
         return len(self._data) >= self.size
 
     def add(self, offset: int, data: bytes) -> bool:
-        """Take in a chunk; return whether it brought anything that was missing."""
+        """Append a chunk if it starts at the current offset; return whether it was appended."""
         if offset != len(self._data) or not data:
             return False
         self._data += data
         return True
 
     def unpack(self) -> RevisionCopy:
-        """Return the copy; raise DeltaMismatch if the bytes are not those that were offered."""
+        """Return the copy; raise DeltaMismatch if the bytes do not match the offered digest."""
         data = bytes(self._data)
         if digest(data) != self.digest:
             raise DeltaMismatch("A packed revision does not have the digest it came with.")
@@ -154,12 +154,12 @@
         self.seconds = INITIAL_CHUNK_TIMEOUT_SECONDS
 
     def on_chunk(self, seconds: float) -> None:
-        """Take in that a chunk took `seconds`."""
+        """Record a chunk that arrived after `seconds`."""
         self.seconds = INITIAL_CHUNK_TIMEOUT_SECONDS
         if seconds < _FAST_CHUNK_SECONDS:
             self.bytes = min(_MAX_CHUNK_BYTES, 2 * self.bytes)
 
     def on_failure(self) -> None:
-        """Take in that a chunk did not come in time."""
+        """Record a chunk that timed out."""
         self.bytes = max(_MIN_CHUNK_BYTES, self.bytes // 2)
         self.seconds = min(_MAX_CHUNK_TIMEOUT_SECONDS, 2 * self.seconds)
