--- a/tests/consensus/test_breakages.py
+++ b/tests/consensus/test_breakages.py
@@ -268,7 +268,7 @@
 
 def held_claim_wins(patch):
     """A claimed key can be claimed again."""
-    original = Ledger._answer_held
+    original = Ledger._claim_result
 
     def answer(self, entry, command):
         result = original(self, entry, command)
@@ -276,7 +276,7 @@
             return ClaimResult(ClaimOutcome.WON, command.claim_id)
         return result
 
-    patch.setattr(Ledger, "_answer_held", answer)
+    patch.setattr(Ledger, "_claim_result", answer)
 
 
 def released_claim_wins_again(patch):
--- a/tests/passthrough/test_whole_path.py
+++ b/tests/passthrough/test_whole_path.py
@@ -126,7 +126,7 @@
         await site.until_all("/plain/x", 200)
         assert (await site.call(0, "/none/"))[0] == 404
         assert (await site.call(0, "/plain/x", Authorization="Token k"))[0] == 401
-        site.gateways[0].gateway_context.registry._told_numbers["elsewhere"] = 2
+        site.gateways[0].gateway_context.registry._revisions["elsewhere"] = 2
         assert await site.call(0, "/none/") == (503, b"behind\n")
         assert await site.call(0, "/plain/x", Authorization="Token k") == (503, b"behind\n")
         assert (await site.call(0, "/plain/x"))[0] == 200
--- a/tests/quarantine/test_narrow_link.py
+++ b/tests/quarantine/test_narrow_link.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.gateway.test_configuration_transfer import LARGE, change_running_gateway, play
+from tests.gateway.test_configuration_transfer import LARGE, change_running_gateway, run_scenario
 from traystall.quarantine.models import TRIAL_MIN_ENDS
 from traystall.rpc.gen.wire.ttypes import EndedRun, ReportRunsRequest
 
@@ -53,4 +53,4 @@
         print(f"{suspects} suspects are known after {site.link.seconds - began:.2f} s")
         await transfer.finish()
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
