--- a/benchmarks/log_lines.py
+++ b/benchmarks/log_lines.py
@@ -13,7 +13,7 @@
 
 from pythonjsonlogger.json import JsonFormatter
 
-from traystall.core.log_writer import BackgroundHandler, LineBudget
+from traystall.core.log_writer import BackgroundHandler, LogRateLimiter
 
 _LINES = 5000
 _ROUNDS = 7
@@ -26,7 +26,7 @@
     null = open(os.devnull, "w")  # noqa: SIM115 - open until the process ends.
     handlers = {
         "synchronous": logging.StreamHandler(null),
-        "background thread": BackgroundHandler(null.fileno(), LineBudget(10**9)),
+        "background thread": BackgroundHandler(null.fileno(), LogRateLimiter(10**9)),
     }
     found = {name: statistics.median(_time_rounds(handler)) for name, handler in handlers.items()}
     for name, seconds in found.items():
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -24,7 +24,7 @@
 from traystall.core.exceptions import RpcError
 from traystall.core.serialization import pack
 from traystall.gateway.configuration import HeldRevision
-from traystall.gateway.directory import FollowedDirectory
+from traystall.gateway.directory import DirectoryCache
 from traystall.rpc.client import LinkIdentity, LinkPool
 from traystall.rpc.gen.wire import ttypes
 from traystall.systems import routing
@@ -99,7 +99,7 @@
         self.link = pool.link(address)
         self.held = HeldRevision()
         self.number = number
-        self.directory = FollowedDirectory()
+        self.directory = DirectoryCache()
         self.held_at = {}
 
     async def watch_forever(self):
@@ -116,7 +116,7 @@
                 age=0.0,
             )
             request = ttypes.WatchRequest(gateway=record, digest=self.held.digest)
-            self.directory.describe_base(request)
+            self.directory.add_known_version(request)
             with contextlib.suppress(RpcError):
                 reply = await self.link.call(request, 5.0)
                 self.directory.take(reply, time.monotonic())
--- a/benchmarks/transfer.py
+++ b/benchmarks/transfer.py
@@ -79,10 +79,10 @@
     """Print the memory of the packed copies that a source retains, and of packing one."""
     copies = [
         transfers.full_copy(entities | {"n": bytes([n])}, bytes([n]))
-        for n in range(transfers.KEPT_PACKED)
+        for n in range(transfers.MAX_CACHED_COPIES)
     ]
     tracemalloc.start()
-    kept = transfers.PackedCopies()
+    kept = transfers.PackedCopyCache()
     for copy in copies:
         kept.get(copy.base, copy.result, lambda c=copy: c)
     held, peak = tracemalloc.get_traced_memory()
--- a/tests/catalog/test_transfers.py
+++ b/tests/catalog/test_transfers.py
@@ -10,9 +10,9 @@
 from traystall.catalog.transfers import (
     INITIAL_CHUNK_BYTES,
     INITIAL_CHUNK_TIMEOUT_SECONDS,
-    ChunkPace,
+    ChunkSizer,
     IncomingCopy,
-    PackedCopies,
+    PackedCopyCache,
     RevisionCopy,
     delta_copy,
     full_copy,
@@ -56,7 +56,7 @@
         before = incoming.offset
         moved = incoming.add(offset, packed.data[offset : offset + length])
         assert moved == (offset == before and offset < len(packed.data))
-    while not incoming.is_whole:
+    while not incoming.is_complete:
         incoming.add(incoming.offset, packed.data[incoming.offset : incoming.offset + 100])
     assert incoming.unpack() == copy
 
@@ -87,7 +87,7 @@
 
         return copy
 
-    kept = PackedCopies(kept=2)
+    kept = PackedCopyCache(kept=2)
     first = kept.get(b"", b"1", make(b"1"))
     kept.get(b"", b"2", make(b"2"))
     assert kept.get(b"", b"1", make(b"1")) is first
@@ -99,7 +99,7 @@
 
 def test_what_failures_in_a_row_waste_is_bounded():
     """Late chunks are discarded: consecutive ones add up to less than two initial chunks."""
-    pace, wasted = ChunkPace(), 0
+    pace, wasted = ChunkSizer(), 0
     for _ in range(4):
         wasted += pace.bytes
         pace.on_failure()
--- a/tests/consensus/test_append_width.py
+++ b/tests/consensus/test_append_width.py
@@ -33,7 +33,7 @@
             replica.tick(self.now)
             while ready := replica.take_ready():
                 if ready.writes:
-                    replica.synced(replica.log.last_term, replica.log.last_index)
+                    replica.on_synced(replica.log.last_term, replica.log.last_index)
                 for message in [*ready.messages, *ready.messages_after_sync]:
                     self._send(name, message)
         due = [entry for entry in self.in_flight if entry[0] <= self.now]
@@ -78,7 +78,7 @@
             retry_at = group.now + 2.5
         for replica in group.replicas.values():
             last = replica.commit_index
-            entries = replica.log.between(2, last) if last > 1 else []
+            entries = replica.log.entries_between(2, last) if last > 1 else []
             if any(len(entry.command or b"") == len(command) for entry in entries):
                 committed = group.now
     terms = max(r.term for r in group.replicas.values()) - term
--- a/tests/consensus/test_breakages.py
+++ b/tests/consensus/test_breakages.py
@@ -193,10 +193,10 @@
         original(self)
         members = self.group.hosts[0].replica.members
         if members:
-            self.replica.found_group(
+            self.replica.bootstrap_group(
                 [type(members[0])(self.identity, self.name, "", True)], 10**6, self.now
             )
-            self.pump()
+            self.process_ready()
 
     patch.setattr(Host, "wipe", wipe)
 
--- a/tests/consensus/test_entry_parts.py
+++ b/tests/consensus/test_entry_parts.py
@@ -133,7 +133,7 @@
     """Return a follower that holds the leader's log except for the large entry."""
     follower = make_replica("c/1", now=-10.0, term=leader.term)
     for index in range(2, leader.log.last_index):
-        follower.log.append(leader.log.between(index, index)[0])
+        follower.log.append(leader.log.entries_between(index, index)[0])
     return follower
 
 
--- a/tests/consensus/test_replica.py
+++ b/tests/consensus/test_replica.py
@@ -60,7 +60,7 @@
     replica.receive(vote_reply("b/1", replica, term), now)
     assert replica.role is Role.LEADER
     replica.take_ready()
-    replica.synced(replica.term, replica.log.last_index)
+    replica.on_synced(replica.term, replica.log.last_index)
     return replica
 
 
@@ -251,11 +251,11 @@
 
 def test_founding_needs_an_empty_log_and_a_new_term():
     with pytest.raises(ConsensusError):
-        make_replica("a/1").found_group(members(*VOTERS), 5, 0.0)
+        make_replica("a/1").bootstrap_group(members(*VOTERS), 5, 0.0)
     voted = Replica("a/1", "main", TIMING, random.Random(1), 0.0, HardState(3))
     with pytest.raises(ConsensusError):
-        voted.found_group(members(*VOTERS), 3, 0.0)
-    voted.found_group(members(*VOTERS), 4, 0.0)
+        voted.bootstrap_group(members(*VOTERS), 3, 0.0)
+    voted.bootstrap_group(members(*VOTERS), 4, 0.0)
     assert voted.log.last_index == 1
 
 
--- a/tests/control/test_forwarded_bundle.py
+++ b/tests/control/test_forwarded_bundle.py
@@ -26,7 +26,7 @@
 
 def large_entries(daemon, size):
     log = daemon.node.replica.log
-    entries = log.between(log.snapshot_index + 1, log.last_index)
+    entries = log.entries_between(log.snapshot_index + 1, log.last_index)
     return sum(len(entry.command or b"") > size for entry in entries)
 
 
--- a/tests/core/test_log_writer.py
+++ b/tests/core/test_log_writer.py
@@ -13,12 +13,12 @@
     DROPPED_LINES_EVENT,
     MAX_PENDING_BYTES,
     BackgroundHandler,
-    LineBudget,
+    LogRateLimiter,
 )
 
 
 def test_each_message_has_its_own_rate_limit():
-    budget = LineBudget(lines_per_second=2)
+    budget = LogRateLimiter(lines_per_second=2)
     assert [budget.allows("often", 0.0) for _ in range(4)] == [True, True, False, False]
     assert budget.allows("seldom", 0.5)
     assert budget.allows("often", 1.0), "a new second begins"
@@ -55,7 +55,7 @@
 
 def test_unread_pipe_does_not_block_and_dropped_lines_are_counted():
     reader, writer = os.pipe()
-    handler, logger = handler_on(writer, LineBudget(10**9))
+    handler, logger = handler_on(writer, LogRateLimiter(10**9))
     text = "x" * 1000
     lines = 4 * MAX_PENDING_BYTES // len(text)
     for number in range(lines):
--- a/tests/gateway/test_directory.py
+++ b/tests/gateway/test_directory.py
@@ -8,9 +8,9 @@
 from hypothesis import strategies as st
 
 from tests.support.old_peers import OldControl, as_old_reply
-from traystall.control.directory import DirectoryNews
+from traystall.control.directory import DirectoryUpdates
 from traystall.gateway.configuration import ConfigurationFollower
-from traystall.gateway.directory import FollowedDirectory
+from traystall.gateway.directory import DirectoryCache
 from traystall.rpc.gen.wire.ttypes import GatewayRecord, WatchReply, WatchRequest
 from traystall.rpc.messages import decode, encode
 from traystall.tables.gateways import GATEWAY_TIMEOUT_SECONDS, GatewayRow, GatewayTable
@@ -47,17 +47,17 @@
 
     def __init__(self, now=0.0):
         self.table = GatewayTable(_REMEMBERED_DROPS)
-        self.news = DirectoryNews(self.table)
+        self.news = DirectoryUpdates(self.table)
 
     def answer(self, request: bytes, now: float) -> bytes:
         reply = WatchReply()
-        self.news.tell(reply, decode(WatchRequest, request), now)
+        self.news.add_directory(reply, decode(WatchRequest, request), now)
         return encode(reply)
 
 
 def ask(followed, with_directory=True):
     request = WatchRequest()
-    followed.describe_base(request, with_directory)
+    followed.add_known_version(request, with_directory)
     return encode(request)
 
 
@@ -69,7 +69,7 @@
 
 
 def test_only_changes_are_sent_and_other_rows_are_kept():
-    control, followed = Control(), FollowedDirectory()
+    control, followed = Control(), DirectoryCache()
     for name in "abc":
         control.table.put(row(name, started_at=-30.0))
     assert len(watch(followed, control, 0.0).directory) == 3
@@ -86,7 +86,7 @@
 
 @pytest.mark.parametrize("field", ["number", "evacuation_version", "seen_at"])
 def test_change_of_a_volatile_field_is_not_sent(field):
-    control, followed = Control(), FollowedDirectory()
+    control, followed = Control(), DirectoryCache()
     control.table.put(row("a"))
     watch(followed, control, 0.0)
     control.table.put(msgspec.structs.replace(row("a", now=1.0), **{field: 7}))
@@ -95,7 +95,7 @@
 
 
 def test_gateway_that_timed_out_is_dropped():
-    control, followed = Control(), FollowedDirectory()
+    control, followed = Control(), DirectoryCache()
     control.table.put(row("a"))
     control.table.put(row("b"))
     watch(followed, control, 0.0)
@@ -107,7 +107,7 @@
 
 
 def test_other_daemon_sends_a_full_copy_once():
-    first, second, followed = Control(), Control(), FollowedDirectory()
+    first, second, followed = Control(), Control(), DirectoryCache()
     for control in (first, second):
         control.table.put(row("a"))
     watch(followed, first, 0.0)
@@ -121,7 +121,7 @@
 
 
 def test_watch_that_timed_out_causes_no_full_copy():
-    control, followed = Control(), FollowedDirectory()
+    control, followed = Control(), DirectoryCache()
     control.table.put(row("a"))
     watch(followed, control, 0.0)
     followed.switch_source()
@@ -141,7 +141,7 @@
     ],
 )
 def test_inconsistent_changes_are_refused_and_a_full_copy_is_requested(spoil):
-    control, followed = Control(), FollowedDirectory()
+    control, followed = Control(), DirectoryCache()
     control.table.put(row("a"))
     control.table.put(row("b"))
     watch(followed, control, 0.0)
@@ -186,7 +186,7 @@
     def __init__(self):
         self.now = 100.0
         self.controls = [Control(), Control()]
-        self.followed = FollowedDirectory()
+        self.followed = DirectoryCache()
         self.position = 0
         self.replies: list[bytes] = []
         self.is_sure = True
@@ -284,7 +284,7 @@
 
 def test_old_daemon_with_the_same_version_number_sends_a_full_copy():
     """Old daemons compare versions without an epoch, so they must not get another daemon's."""
-    control, old, followed = Control(), OldControl(), FollowedDirectory()
+    control, old, followed = Control(), OldControl(), DirectoryCache()
     control.table.put(row("a"))
     watch(followed, control, 0.0)
     old.table.put(row("b"))
--- a/tests/gateway/test_front.py
+++ b/tests/gateway/test_front.py
@@ -3,7 +3,7 @@
 import pytest
 
 from tests.support.gateway_bench import service_stage
-from traystall.gateway.front import Front
+from traystall.gateway.front import Frontend
 from traystall.tables.entities import Pipeline
 from traystall.tables.requests import RequestRow, StageRecord
 
@@ -17,11 +17,11 @@
 
 @pytest.mark.parametrize("sent,not_run", [(0, 0), (1, 1), (3, 3)])
 def test_work_that_was_not_run_is_cancelled(sent, not_run):
-    front = Front.__new__(Front)
+    front = Frontend.__new__(Frontend)
     assert not front._must_finish(make_row(False, sent, not_run))
 
 
 def test_work_that_may_have_run_finishes_only_if_not_repeatable():
-    front = Front.__new__(Front)
+    front = Frontend.__new__(Frontend)
     assert front._must_finish(make_row(False, 2, 1))
     assert not front._must_finish(make_row(True, 2, 1))
--- a/tests/passthrough/test_asking.py
+++ b/tests/passthrough/test_asking.py
@@ -243,7 +243,7 @@
             return found
 
         view.connections.acquire = slow
-        gateway.context.may_repeat_batched = lambda *_: pytest.fail("a repeat was taken")
+        gateway.context.consume_batched_repeat = lambda *_: pytest.fail("a repeat was taken")
         began = clock.monotonic()
         assert (await gateway.call("/staged/x", **PIECES))[0] == 200
         assert 0.3 <= clock.monotonic() - began < 0.8
--- a/tests/passthrough/test_cells.py
+++ b/tests/passthrough/test_cells.py
@@ -130,7 +130,7 @@
                     gateway.context.board.merge(report, clock.monotonic())
             assert gateway.context.cells().names() == ["here", "there"]
             if refusing_cell:
-                book = gateway.context.batcher._book(refusing_cell)
+                book = gateway.context.batcher._admission_controller(refusing_cell)
                 book.admit = _refuse_all(book.admit)
             answers = await asyncio.gather(
                 *(gateway.call("/staged/x", **headers) for _ in range(calls))
--- a/tests/passthrough/test_decisions.py
+++ b/tests/passthrough/test_decisions.py
@@ -225,11 +225,11 @@
     book.unreserve(30)
     book.hold("a", 10, 0.0, 4.0)
     book.hold("b", 20, 0.0, 5.0)
-    assert book.taken(1.0) == 30
+    assert book.used_bytes(1.0) == 30
     book.free("a", 1.0)
     book.free("unknown", 1.0)
-    assert book.taken(1.0) == 20
-    assert book.taken(6.0) == 0
+    assert book.used_bytes(1.0) == 20
+    assert book.used_bytes(6.0) == 0
 
 
 def test_result_memory_bounds_the_rate_by_the_hold_time():
@@ -245,9 +245,9 @@
     book = ResultMemory()
     book.hold("own", 10, 0.0, 4.0)
     assert book.record_free_bytes(60, 100, 1.0, 4.0) == 30
-    assert book.taken(1.0) == 40
+    assert book.used_bytes(1.0) == 40
     assert book.record_free_bytes(85, 100, 1.5, 4.0) == 5, "the newest report counts"
-    assert book.taken(1.5) == 15
+    assert book.used_bytes(1.5) == 15
     assert book.foreign(5.6) == 0
     assert book.record_free_bytes(95, 100, 2.0, 4.0) == 0, (
         "the report does not include the last call yet"
--- a/tests/passthrough/test_evacuation.py
+++ b/tests/passthrough/test_evacuation.py
@@ -92,9 +92,9 @@
     async def scenario():
         async with two_data_centres() as (gateway, _):
             gateway.evacuate("here")
-            assert gateway.context.lacks_place("plain", ("here",))
-            assert not gateway.context.lacks_place("plain", ("here", "there"))
-            assert not gateway.context.lacks_place("unknown", ())
+            assert gateway.context.has_no_eligible_targets("plain", ("here",))
+            assert not gateway.context.has_no_eligible_targets("plain", ("here", "there"))
+            assert not gateway.context.has_no_eligible_targets("unknown", ())
 
     run(scenario())
 
--- a/tests/passthrough/test_limited_targets.py
+++ b/tests/passthrough/test_limited_targets.py
@@ -16,7 +16,7 @@
 from traystall.passthrough.exchange.connection import ResponseHead, SentRequest, TargetConnection
 from traystall.passthrough.stages.piece_queue import PieceQueue
 from traystall.registry.models import TargetReport
-from traystall.systems.permits import FIRST_PART
+from traystall.systems.permits import FIRST_LENDER_SHARE
 
 PIECES = {"Traystall-Pieces": "2,1", "Traystall-Piece-Key": "pk"}
 ROUTES = [
@@ -304,7 +304,7 @@
                 limit.closed_until = now + 60.0
             assert queue._usable() == []
             # They still run pieces, as many as their rate limits allow.
-            assert queue.rate(now) == pytest.approx(2 * 4 * FIRST_PART)
+            assert queue.rate(now) == pytest.approx(2 * 4 * FIRST_LENDER_SHARE)
         for worker in workers:
             await worker.stop()
 
--- a/tests/passthrough/test_streams.py
+++ b/tests/passthrough/test_streams.py
@@ -227,7 +227,7 @@
             async with EmulatedGateway(routing, [("batches", worker)]) as gateway:
                 headers = {"Traystall-Pieces": "1,1", "Traystall-Piece-Key": "pk"}
                 status, _, _ = await gateway.call("/staged/x", **headers)
-                return status, gateway.context.batcher._book(WHOLE_SYSTEM)
+                return status, gateway.context.batcher._admission_controller(WHOLE_SYSTEM)
         finally:
             await worker.stop()
 
--- a/tests/permits/test_permits.py
+++ b/tests/permits/test_permits.py
@@ -9,7 +9,7 @@
 from traystall.permits.exceptions import PermitDenied
 from traystall.permits.lenders import SETTLE_SECONDS
 from traystall.rpc.gen.wire.ttypes import LimitNews, PermitRequest
-from traystall.systems.permits import FIRST_PART
+from traystall.systems.permits import FIRST_LENDER_SHARE
 from traystall.systems.target_limits import UNLIMITED, AnnouncedLimit
 
 WINDOW_SECONDS = 4.0
@@ -32,7 +32,7 @@
         weights = [10.0 if skewed and n < 2 else 1.0 for n in range(count)]
         await site.press(40.0, 100.0, weights)
         assert site.most_within(WINDOW_SECONDS) <= max_allowed(limit)
-        assert len(site.sent) >= 40.0 * limit * FIRST_PART * 0.5 - 1
+        assert len(site.sent) >= 40.0 * limit * FIRST_LENDER_SHARE * 0.5 - 1
 
     asyncio.run(scenario())
 
@@ -65,7 +65,7 @@
         await site.press(2 * SETTLE_SECONDS, 50.0)
         before = len(site.sent)
         await site.press(10.0, 50.0)
-        assert len(site.sent) - before >= 10.0 * FIRST_PART * 0.5
+        assert len(site.sent) - before >= 10.0 * FIRST_LENDER_SHARE * 0.5
         assert site.most_within(WINDOW_SECONDS) <= max_allowed(1.0)
 
     asyncio.run(scenario())
--- a/tests/permits/test_ranks.py
+++ b/tests/permits/test_ranks.py
@@ -5,7 +5,7 @@
 import pytest
 
 from traystall.permits.lenders import SETTLE_SECONDS, LenderRanking
-from traystall.systems.permits import FIRST_PART, SECOND_PART
+from traystall.systems.permits import FIRST_LENDER_SHARE, SECOND_LENDER_SHARE
 from traystall.tables.gateways import GatewayRow
 
 LIFE = "target-1"
@@ -18,33 +18,33 @@
 
 
 def settled_ranking(own, rows):
-    ranks = LenderRanking(own)
-    ranks.note(rows, 0.0)
-    ranks.note(rows, SETTLE_SECONDS)
-    return ranks
+    lender_ranking = LenderRanking(own)
+    lender_ranking.note(rows, 0.0)
+    lender_ranking.note(rows, SETTLE_SECONDS)
+    return lender_ranking
 
 
 @pytest.mark.parametrize("count", [1, 2, 9, 24, 195])
 def test_all_gateways_agree_on_two_lenders(count):
     rows = [row(f"g-{n}") for n in range(count)]
     parts = [settled_ranking(r.identity, rows).part(LIFE, "here", SETTLE_SECONDS) for r in rows]
-    assert sorted(parts, reverse=True)[:2] == [FIRST_PART, SECOND_PART][:count]
+    assert sorted(parts, reverse=True)[:2] == [FIRST_LENDER_SHARE, SECOND_LENDER_SHARE][:count]
     assert sum(part > 0 for part in parts) == min(2, count)
 
 
 def test_lenders_are_in_the_targets_data_centre_if_possible():
     rows = [row(f"g-{n}", "here" if n < 3 else "there") for n in range(9)]
-    ranks = settled_ranking("g-0", rows)
-    assert set(ranks.lenders(LIFE, "here")) <= {"g-0", "g-1", "g-2"}
-    assert set(ranks.lenders(LIFE, "there")).isdisjoint({"g-0", "g-1", "g-2"})
-    assert len(ranks.lenders(LIFE, "nowhere")) == 2
+    lender_ranking = settled_ranking("g-0", rows)
+    assert set(lender_ranking.lenders(LIFE, "here")) <= {"g-0", "g-1", "g-2"}
+    assert set(lender_ranking.lenders(LIFE, "there")).isdisjoint({"g-0", "g-1", "g-2"})
+    assert len(lender_ranking.lenders(LIFE, "nowhere")) == 2
 
 
 def test_gateways_without_permit_support_are_never_lenders():
     rows = [row(f"old-{n}", lends=False) for n in range(5)]
-    ranks = settled_ranking("g-0", rows)
-    assert ranks.lenders(LIFE, "here") == []
-    assert ranks.part(LIFE, "here", SETTLE_SECONDS) == 0.0
+    lender_ranking = settled_ranking("g-0", rows)
+    assert lender_ranking.lenders(LIFE, "here") == []
+    assert lender_ranking.part(LIFE, "here", SETTLE_SECONDS) == 0.0
     assert settled_ranking("g-0", [*rows, row("g-0")]).lenders(LIFE, "here") == ["g-0"]
 
 
@@ -54,22 +54,22 @@
 
 
 def test_new_gateway_grants_nothing_until_its_view_settles():
-    ranks = LenderRanking("g-0")
-    assert ranks.part(LIFE, "here", 0.0) == 0.0
-    ranks.note([row("g-0")], 0.0)
-    assert ranks.part(LIFE, "here", SETTLE_SECONDS - 0.1) == 0.0
-    assert ranks.part(LIFE, "here", SETTLE_SECONDS) == FIRST_PART
+    lender_ranking = LenderRanking("g-0")
+    assert lender_ranking.part(LIFE, "here", 0.0) == 0.0
+    lender_ranking.note([row("g-0")], 0.0)
+    assert lender_ranking.part(LIFE, "here", SETTLE_SECONDS - 0.1) == 0.0
+    assert lender_ranking.part(LIFE, "here", SETTLE_SECONDS) == FIRST_LENDER_SHARE
 
 
 def test_second_lender_becomes_first_in_two_steps():
     rows = [row(f"g-{n}") for n in range(3)]
     first, second = settled_ranking("g-0", rows).lenders(LIFE, "here")
-    ranks = settled_ranking(second, rows)
+    lender_ranking = settled_ranking(second, rows)
     left = [r for r in rows if r.identity != first]
     now = SETTLE_SECONDS + 1.0
-    ranks.note(left, now)
-    assert ranks.part(LIFE, "here", now) == SECOND_PART
-    assert ranks.part(LIFE, "here", now + SETTLE_SECONDS) == FIRST_PART
+    lender_ranking.note(left, now)
+    assert lender_ranking.part(LIFE, "here", now) == SECOND_LENDER_SHARE
+    assert lender_ranking.part(LIFE, "here", now + SETTLE_SECONDS) == FIRST_LENDER_SHARE
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -78,7 +78,7 @@
     source = random.Random(seed)
     rows = {f"g-{n}": row(f"g-{n}") for n in range(6)}
     running, now = dict.fromkeys(rows, 0.0), 0.0
-    ranks = {name: LenderRanking(name) for name in rows}
+    lender_ranking = {name: LenderRanking(name) for name in rows}
     pending = [(0.0, name, tuple(rows)) for name in rows]
     highest = 0.0
     while now < 120.0:
@@ -86,17 +86,17 @@
         if source.random() < 0.04:
             stopped = source.choice(list(running))
             if len(running) > 2:
-                del running[stopped], ranks[stopped]
+                del running[stopped], lender_ranking[stopped]
             new = f"g-{now}"
-            running[new], ranks[new] = now, LenderRanking(new)
+            running[new], lender_ranking[new] = now, LenderRanking(new)
             members = tuple(running)
             pending += [(now + source.uniform(0, _LAG_SECONDS), n, members) for n in running]
         for at, name, members in [entry for entry in pending if entry[0] <= now]:
             pending.remove((at, name, members))
-            if name in ranks:
-                ranks[name].note([row(member) for member in members], now)
-        parts = [ranks[name].part(LIFE, "here", now) for name in running]
-        assert sum(part == FIRST_PART for part in parts) <= 1
+            if name in lender_ranking:
+                lender_ranking[name].note([row(member) for member in members], now)
+        parts = [lender_ranking[name].part(LIFE, "here", now) for name in running]
+        assert sum(part == FIRST_LENDER_SHARE for part in parts) <= 1
         assert sum(parts) <= 1.5
         highest = max(highest, sum(parts))
-    assert highest == pytest.approx(FIRST_PART + SECOND_PART)
+    assert highest == pytest.approx(FIRST_LENDER_SHARE + SECOND_LENDER_SHARE)
--- a/tests/storage/test_folder.py
+++ b/tests/storage/test_folder.py
@@ -42,7 +42,7 @@
 
 def indexes(recovered):
     log = recovered.log
-    return [e.index for e in log.between(log.snapshot_index + 1, log.last_index)]
+    return [e.index for e in log.entries_between(log.snapshot_index + 1, log.last_index)]
 
 
 def test_writes_are_recovered(tmp_path):
--- a/tests/support/control_group.py
+++ b/tests/support/control_group.py
@@ -137,7 +137,7 @@
             leader = self.leader()
             if leader is not None:
                 leader.node.replica.hand_over(identity, clock.monotonic())
-                leader.node.pump()
+                leader.node.process_ready()
             await self.until(lambda former=leader: self.leader() not in (None, former))
 
     async def apply(self, name, number, content):
--- a/tests/support/emulator/gateway.py
+++ b/tests/support/emulator/gateway.py
@@ -12,7 +12,7 @@
 from traystall.passthrough.admission.budget import RepeatBudgetRule
 from traystall.passthrough.context import PassContext
 from traystall.passthrough.dialect import HeaderNames, PlainStageDialect
-from traystall.passthrough.entry.front import PassFront
+from traystall.passthrough.entry.front import PassFrontend
 from traystall.passthrough.placement.service import PlacementService
 from traystall.passthrough.stages.batcher import Batcher
 from traystall.permits.broadcast import LimitBroadcaster
@@ -129,7 +129,7 @@
         self.teller.review()
         self.context.batcher = Batcher(self.context, links)
         self.context.placement_service = PlacementService(self.context, links)
-        self.front = PassFront(self.context)
+        self.front = PassFrontend(self.context)
         for pool, runner in runners:
             self.add(pool, runner)
 
--- a/tests/support/gateway_bench.py
+++ b/tests/support/gateway_bench.py
@@ -11,7 +11,7 @@
 from traystall.core.serialization import pack
 from traystall.gateway.configuration import ConfigurationFollower
 from traystall.gateway.context import GatewayContext
-from traystall.gateway.front import Front
+from traystall.gateway.front import Frontend
 from traystall.gateway.ledger import LedgerUnavailable
 from traystall.gateway.relay import Relay
 from traystall.ledger.models import Claim, Release, Settle
@@ -107,8 +107,10 @@
             FakeSettings(), "gateway-1/x", None, self.follower, self.ledger, self.leader.guard()
         )
         self.context.random.seed(1)
-        ranks = self.context.permits.ranks = LenderRanking("gateway-1/x", settle_seconds=0.0)
-        ranks.note([], clock.monotonic())
+        lender_ranking = self.context.permits.lender_ranking = LenderRanking(
+            "gateway-1/x", settle_seconds=0.0
+        )
+        lender_ranking.note([], clock.monotonic())
 
     async def __aenter__(self):
         rows = [DataCentre(PLACE, "region"), DataCentre(ELSEWHERE, "region")]
@@ -123,7 +125,7 @@
         await self.context.http.open()
         self.relay = Relay(self.context)
         await self.relay.open()
-        self.front = Front(self.context, self.relay)
+        self.front = Frontend(self.context, self.relay)
         app = web.Application(client_max_size=1024 * 1024)
         self.front.add_routes(app)
         self.runner = web.AppRunner(app, access_log=None, handler_cancellation=True)
--- a/tests/support/group.py
+++ b/tests/support/group.py
@@ -106,7 +106,7 @@
         self._form_group()
         for host in self.hosts:
             host.replica.tick(host.now)
-            host.pump()
+            host.process_ready()
             host.sync(len(host.disk.jobs))
         for _ in range(len(self.messages)):
             self._hand_message(*self.messages.pop(0))
@@ -121,8 +121,8 @@
             founder = self.hosts[0]
             members = [MemberRecord(h.identity, h.name, "", True) for h in self.hosts]
             term = 1 + max(h.replica.term for h in self.hosts)
-            founder.replica.found_group(members, term, founder.now)
-            founder.pump()
+            founder.replica.bootstrap_group(members, term, founder.now)
+            founder.process_ready()
 
     def lease_holder(self):
         for host in self.hosts:
@@ -191,7 +191,7 @@
             self.messages.append((sender, message))
             return
         host.replica.receive(message, host.now)
-        host.pump()
+        host.process_ready()
 
     def _drop(self):
         if self.messages:
--- a/tests/support/group_faults.py
+++ b/tests/support/group_faults.py
@@ -17,7 +17,7 @@
         if host is not None:
             self.effect("tick", host)
             host.replica.tick(host.now)
-            host.pump()
+            host.process_ready()
 
     def _sync(self):
         for host in self.hosts:
@@ -115,7 +115,7 @@
             leader.replica.propose_members(members, leader.now)
         except ConsensusError:
             return
-        leader.pump()
+        leader.process_ready()
 
     def _hand_over(self):
         leader = self._any(lambda h: h.runs and h.replica.is_leader)
@@ -125,10 +125,10 @@
                 leader.replica.hand_over(self.random.choice(others), leader.now)
             except ConsensusError:
                 return
-            leader.pump()
+            leader.process_ready()
 
     def _compact(self):
         host = self._any(lambda h: h.runs and h.replica.applied_index > 3)
         if host is not None:
             host.replica.compact(host.replica.applied_index, host.state.snapshot())
-            host.pump()
+            host.process_ready()
--- a/tests/support/hosts.py
+++ b/tests/support/hosts.py
@@ -109,7 +109,7 @@
         self.disk = Disk()
         self.boot()
 
-    def pump(self):
+    def process_ready(self):
         """Perform the actions that the replica returns, as the daemon's node does."""
         while ready := self.replica.take_ready():
             self.group.send(self, ready.messages)
@@ -141,8 +141,8 @@
             self.group.effect("sync", self)
             self.group.send(self, job["messages"])
         if done and self.alive:
-            self.replica.synced(*done[-1]["mark"])
-            self.pump()
+            self.replica.on_synced(*done[-1]["mark"])
+            self.process_ready()
 
     def _apply(self, entry):
         self.group.effect("apply", self)
@@ -161,4 +161,4 @@
         except ConsensusError:
             return
         self.waiting[index] = (self.replica.term, callback)
-        self.pump()
+        self.process_ready()
--- a/tests/support/lending.py
+++ b/tests/support/lending.py
@@ -94,11 +94,11 @@
         """Update the directory at all gateways; a gateway that is cut off keeps its old one."""
         for name, permits in self.gateways.items():
             if name not in self.cut:
-                permits.ranks.note(self.rows, self.now)
+                permits.lender_ranking.note(self.rows, self.now)
 
     def lenders(self):
         """Return the names of the two lenders."""
-        return next(iter(self.gateways.values())).ranks.lenders(LIFE, PLACE)
+        return next(iter(self.gateways.values())).lender_ranking.lenders(LIFE, PLACE)
 
     async def ask(self, name, patience=0.0):
         """Send one request through a gateway if it gets a permit; return whether it was sent."""
--- a/tests/support/power.py
+++ b/tests/support/power.py
@@ -112,7 +112,7 @@
         self.hard_state = recovered.hard_state
         self.snapshot = recovered.log.snapshot
         first, last = recovered.log.snapshot_index + 1, recovered.log.last_index
-        self.entries = recovered.log.between(first, last) if last >= first else []
+        self.entries = recovered.log.entries_between(first, last) if last >= first else []
 
     def sync(self, count):
         """Write the first jobs; raise PowerFailure if the power fails."""
--- a/tests/systems/test_permits.py
+++ b/tests/systems/test_permits.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from traystall.systems.permits import FIRST_PART, SECOND_PART, PermitSchedule
+from traystall.systems.permits import FIRST_LENDER_SHARE, SECOND_LENDER_SHARE, PermitSchedule
 
 WINDOW_SECONDS = 4.0
 
@@ -24,7 +24,7 @@
     """Both lenders grant at once after an idle period, to random requests and with returns."""
     source = random.Random(seed)
     sent = []
-    for part in (FIRST_PART, SECOND_PART):
+    for part in (FIRST_LENDER_SHARE, SECOND_LENDER_SHARE):
         schedule, now = PermitSchedule(), 100.0
         while now < 130.0:
             now += source.expovariate(limit * 8)
@@ -45,7 +45,7 @@
     """A target that also counts connections counted 12 where 7 requests were sent."""
     schedule, now, sent = PermitSchedule(), 0.0, []
     while now < 20.0:
-        result = schedule.grant(limit * FIRST_PART, "g", 0.0, False, now)
+        result = schedule.grant(limit * FIRST_LENDER_SHARE, "g", 0.0, False, now)
         sent += [now] if result.is_granted else []
         now += 0.01 / max(1.0, limit / 10)
     assert 2 * max_in_window(sent) <= max_allowed(limit)
--- a/traystall/catalog/transfers.py
+++ b/traystall/catalog/transfers.py
@@ -18,7 +18,7 @@
 # The fastest level: 600 KB of routes become 37 KB in 4 ms, at the highest 33 KB in 7 ms.
 _COMPRESSION_LEVEL = 1
 # Number of packed copies that a source caches: one for each base that gateways still hold.
-KEPT_PACKED = 16
+MAX_CACHED_COPIES = 16
 # Limit on the unpacked size, equal to the frame limit, as a protection against corrupt data.
 _MAX_UNPACKED_BYTES = 64 * 1024 * 1024
 
@@ -78,13 +78,13 @@
         raise DeltaMismatch(f"A packed revision can't be read: {error}.") from error
 
 
-class PackedCopies:
+class PackedCopyCache:
     """Cache packed copies and evict the least recently used one.
 
     Hundreds of gateways request the same copy within a second or two; it is packed once.
     """
 
-    def __init__(self, kept: int = KEPT_PACKED):
+    def __init__(self, kept: int = MAX_CACHED_COPIES):
         self._kept = kept
         self._packed: OrderedDict[tuple[bytes, bytes], PackedCopy] = OrderedDict()
 
@@ -122,7 +122,7 @@
         return len(self._data)
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether every byte has arrived."""
         return len(self._data) >= self.size
 
@@ -141,7 +141,7 @@
         return unpack_copy(data)
 
 
-class ChunkPace:
+class ChunkSizer:
     """Choose the size and the timeout of the next chunk.
 
     A chunk that arrives after its timeout is discarded, so each failure halves the size of the
--- a/traystall/consensus/log.py
+++ b/traystall/consensus/log.py
@@ -71,7 +71,7 @@
             chosen.append(entry)
         return chosen
 
-    def between(self, first: int, last: int) -> list:
+    def entries_between(self, first: int, last: int) -> list:
         """Return the entries from `first` to `last`, both included."""
         base = self.snapshot_index + 1
         return self._entries[first - base : last - base + 1]
--- a/traystall/consensus/replica.py
+++ b/traystall/consensus/replica.py
@@ -163,7 +163,7 @@
         ready = self._ready
         self._ready = Ready()
         if self.commit_index > self.applied_index:
-            ready.committed = self.log.between(self.applied_index + 1, self.commit_index)
+            ready.committed = self.log.entries_between(self.applied_index + 1, self.commit_index)
             self.applied_index = self.commit_index
         return ready
 
@@ -213,7 +213,7 @@
         self._sync_progress()
         return self.log.last_index
 
-    def found_group(self, members, term: int, now: float) -> None:
+    def bootstrap_group(self, members, term: int, now: float) -> None:
         """Write the first entry of a new group; only a replica with an empty log may do this.
 
         `term` must be higher than that of every initial member. A member that bootstrapped the
@@ -238,7 +238,7 @@
         self._handover_deadline = now + self.timing.election_max
         self._continue_handover()
 
-    def synced(self, term: int, index: int) -> None:
+    def on_synced(self, term: int, index: int) -> None:
         """Record that the entry (term, index) and all before it are durable here."""
         if self.log.term_at(index) != term:
             return
--- a/traystall/control/daemon.py
+++ b/traystall/control/daemon.py
@@ -104,7 +104,7 @@
         await self._server.start()
         self.node.start()
         await self._start_http()
-        self._background = daemon.Background()
+        self._background = daemon.BackgroundTasks()
         self._background.start(self._form_group())
         self._background.start(subscribers.share_directory_forever())
         self._background.start(self._order_sender.run_forever())
@@ -119,7 +119,7 @@
 
     async def until_stopped(self, stopping: asyncio.Event) -> None:
         """Return on a signal, after a transfer of leadership; raise if a background task fails."""
-        await daemon.first_of(stopping, self.node.failed, self._background.failed)
+        await daemon.wait_for_stop_or_failure(stopping, self.node.failed, self._background.failed)
         if self.node.replica.is_leader:
             with contextlib.suppress(ControlError, ConsensusError, RpcError):
                 await self._members.hand_over()
--- a/traystall/control/directory.py
+++ b/traystall/control/directory.py
@@ -16,7 +16,7 @@
 BATCH_SECONDS = 0.3
 
 
-class DirectoryNews:
+class DirectoryUpdates:
     """Add updates of a gateway table to watch replies; `epoch` identifies this incarnation."""
 
     def __init__(self, table: GatewayTable):
@@ -34,7 +34,7 @@
         """
         return began + BATCH_SECONDS if self._known_version(request) else began
 
-    def tell(self, reply: WatchReply, request: WatchRequest, now: float) -> None:
+    def add_directory(self, reply: WatchReply, request: WatchRequest, now: float) -> None:
         """Add the directory, or its changes, to the reply if the watcher's version is outdated."""
         if self.has_changes(request):
             # Gateways that timed out are reported as dropped in this reply, not a second later.
--- a/traystall/control/evacuation.py
+++ b/traystall/control/evacuation.py
@@ -43,7 +43,7 @@
             data_centre=name,
             evacuated=bool(request.evacuated),
             operator=request.operator or "",
-            time=clock.wall(),
+            time=clock.wall_time(),
         )
         result = await self._node.propose(pack(command), _COMMIT_TIMEOUT_SECONDS)
         decision(
@@ -57,7 +57,7 @@
 
     def records(self) -> list[EvacuationRecord]:
         """Return the evacuations in force as wire records, for operators to read."""
-        now = clock.wall()
+        now = clock.wall_time()
         return [
             EvacuationRecord(
                 data_centre=row.data_centre,
--- a/traystall/control/formation.py
+++ b/traystall/control/formation.py
@@ -47,8 +47,8 @@
             ]
             logger.info("bootstrapping group", extra={"members": [m.identity for m in members]})
             term = 1 + max(reply.term for reply in replies.values())
-            node.replica.found_group(members, term, clock.monotonic())
-            node.pump()
+            node.replica.bootstrap_group(members, term, clock.monotonic())
+            node.process_ready()
             return
         await asyncio.sleep(_PROBE_INTERVAL_SECONDS)
 
--- a/traystall/control/members.py
+++ b/traystall/control/members.py
@@ -54,7 +54,7 @@
             raise ConsensusError("There is no other voter to hand leadership to.")
         best = max(others, key=lambda name: replica.progress[name].match_index)
         replica.hand_over(best, clock.monotonic())
-        self._node.pump()
+        self._node.process_ready()
         deadline = clock.monotonic() + replica.timing.election_max * 2
         while clock.monotonic() < deadline:
             if not replica.is_leader and replica.leader:
--- a/traystall/control/node.py
+++ b/traystall/control/node.py
@@ -111,7 +111,7 @@
         self.replica.receive(message, clock.monotonic())
         if self.replica.leader and message.sender == self.replica.leader:
             self._leader_seen_at = clock.monotonic()
-        self.pump()
+        self.process_ready()
 
     async def propose(self, command: bytes, timeout: float):
         """Return the result of a committed command.
@@ -153,14 +153,14 @@
             raise LeaderElsewhere(self.leader_address()) from error
         future = asyncio.get_running_loop().create_future()
         self._waiting[index] = (self.replica.term, future)
-        self.pump()
+        self.process_ready()
         try:
             async with asyncio.timeout(timeout):
                 await future
         except TimeoutError as error:
             raise CommitInDoubt("No majority confirmed the change of members in time.") from error
 
-    def pump(self) -> None:
+    def process_ready(self) -> None:
         """Process the replica's outputs until there are none left."""
         while ready := self.replica.take_ready():
             self._process(ready)
@@ -180,7 +180,7 @@
             return
         for index, (_, future) in zip(indexes, proposals, strict=True):
             self._waiting[index] = (self.replica.term, future)
-        self.pump()
+        self.process_ready()
 
     def _process(self, ready: Ready):
         self._send(ready.messages)
@@ -239,8 +239,8 @@
     def _after_sync(self, jobs):
         for job in jobs:
             self._send(job.messages)
-        self.replica.synced(jobs[-1].term, jobs[-1].index)
-        self.pump()
+        self.replica.on_synced(jobs[-1].term, jobs[-1].index)
+        self.process_ready()
 
     def _apply(self, entries):
         for entry in entries:
@@ -292,7 +292,7 @@
     async def _tick_forever(self):
         while True:
             self.replica.tick(clock.monotonic())
-            self.pump()
+            self.process_ready()
             await asyncio.sleep(TICK_SECONDS)
 
     def _spawn(self, coroutine):
--- a/traystall/control/service.py
+++ b/traystall/control/service.py
@@ -212,7 +212,7 @@
             claimant=request.claimant,
             stage=request.stage or "",
             retention=request.retention,
-            time=clock.wall(),
+            time=clock.wall_time(),
         )
         result = await self._node.propose(pack(command), COMMIT_TIMEOUT_SECONDS)
         return ttypes.ClaimReply(
@@ -231,7 +231,7 @@
             claim_id=request.claim_id,
             digest=request.digest,
             holders=request.holders or [],
-            time=clock.wall(),
+            time=clock.wall_time(),
         )
         outcome = await self._node.propose(pack(command), COMMIT_TIMEOUT_SECONDS)
         return ttypes.SettleReply(outcome=outcome.value)
@@ -241,7 +241,7 @@
             customer=request.customer,
             key=request.key,
             claim_id=request.claim_id,
-            time=clock.wall(),
+            time=clock.wall_time(),
         )
         outcome = await self._node.propose(pack(command), COMMIT_TIMEOUT_SECONDS)
         return ttypes.ReleaseReply(outcome=outcome.value)
--- a/traystall/control/subscribers.py
+++ b/traystall/control/subscribers.py
@@ -8,7 +8,7 @@
 import logging
 
 from traystall.catalog.transfers import RevisionCopy, delta_copy, full_copy
-from traystall.control.directory import DirectoryNews
+from traystall.control.directory import DirectoryUpdates
 from traystall.control.node import Node
 from traystall.core import clock
 from traystall.core.exceptions import RpcError, RpcRefused
@@ -46,7 +46,7 @@
         self._node = node
         self._links = links
         self._address = address
-        self._directory = DirectoryNews(self.table)
+        self._directory = DirectoryUpdates(self.table)
         # The first is set by every update, the second by all but directory changes.
         self._anything_changed = asyncio.Event()
         self._state_changed = asyncio.Event()
@@ -136,7 +136,7 @@
         )
         if request.suspects_version is not None:
             reply.suspects = to_suspects(self._node.state.suspects, request.suspects_version)
-        self._directory.tell(reply, request, clock.monotonic())
+        self._directory.add_directory(reply, request, clock.monotonic())
         if request.gateway.number <= catalog.number:
             self._copies.fill(reply, request)
         return reply
--- a/traystall/control/suspects.py
+++ b/traystall/control/suspects.py
@@ -37,14 +37,14 @@
             ended=tuple(_to_ended(one) for one in request.ended or ()),
             served=tuple(request.served or ()),
             released=tuple(request.released or ()),
-            time=clock.wall(),
+            time=clock.wall_time(),
         )
         self._log(await self._node.propose(pack(command), _COMMIT_TIMEOUT_SECONDS))
         return ttypes.ReportRunsReply(version=self._node.state.suspects.version)
 
     async def begin_trial(self, request: ttypes.TrialRequest) -> ttypes.TrialReply:
         """Return the verdict on whether a suspect may be sent now."""
-        command = BeginTrial(request.digest, request.trial, clock.wall())
+        command = BeginTrial(request.digest, request.trial, clock.wall_time())
         result = await self._node.propose(pack(command), _COMMIT_TIMEOUT_SECONDS)
         self._log(result.updates)
         decision("trial", suspect=request.digest.hex(), verdict=result.verdict.value)
@@ -55,7 +55,7 @@
         token = request.token or ""
         if self._operator_token and not hmac.compare_digest(token, self._operator_token):
             raise RpcRefused("forbidden", "Operators' calls need the cluster's operator token.")
-        command = LiftSuspect(request.digest or b"", request.operator or "", clock.wall())
+        command = LiftSuspect(request.digest or b"", request.operator or "", clock.wall_time())
         updates = await self._node.propose(pack(command), _COMMIT_TIMEOUT_SECONDS)
         self._log(updates)
         return ttypes.LiftReply(lifted=bool(updates))
--- a/traystall/core/clock.py
+++ b/traystall/core/clock.py
@@ -12,6 +12,6 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-def wall() -> float:
+def wall_time() -> float:
     """Return seconds since the epoch; only for timestamps in logs and replicated log entries."""
     return time.time()
--- a/traystall/core/daemon.py
+++ b/traystall/core/daemon.py
@@ -19,7 +19,7 @@
 logger = logging.getLogger(__name__)
 
 
-class Background:
+class BackgroundTasks:
     """Hold a daemon's essential tasks; `failed` gets the exception of the first that fails."""
 
     def __init__(self):
@@ -44,7 +44,7 @@
         self.failed.set_exception(task.exception())
 
 
-async def first_of(stopping: asyncio.Event, *failures: asyncio.Future) -> None:
+async def wait_for_stop_or_failure(stopping: asyncio.Event, *failures: asyncio.Future) -> None:
     """Return when `stopping` is set, or raise the exception of a failed future before that."""
     stop = asyncio.ensure_future(stopping.wait())
     await asyncio.wait({stop, *failures}, return_when=asyncio.FIRST_COMPLETED)
--- a/traystall/core/health.py
+++ b/traystall/core/health.py
@@ -4,9 +4,9 @@
 
 from traystall.core.metrics import render_metrics
 
-METRICS = "/metrics"
-LIVE = "/livez"
-READY = "/readyz"
+METRICS_PATH = "/metrics"
+LIVE_PATH = "/livez"
+READY_PATH = "/readyz"
 _TEXT = "text/plain; charset=utf-8"
 
 
--- a/traystall/core/log_writer.py
+++ b/traystall/core/log_writer.py
@@ -26,7 +26,7 @@
 DROPPED_LINES_EVENT = "log-lines-left-out"
 
 
-class LineBudget:
+class LogRateLimiter:
     """Limit the lines of each message per second. Pure; times are monotonic seconds."""
 
     def __init__(self, lines_per_second: int = MAX_LINES_PER_SECOND):
@@ -67,10 +67,10 @@
 class BackgroundHandler(logging.Handler):
     """Format records in the calling thread and write them in a background thread."""
 
-    def __init__(self, descriptor: int, budget: LineBudget | None = None):
+    def __init__(self, descriptor: int, budget: LogRateLimiter | None = None):
         super().__init__()
         self._descriptor = descriptor
-        self._budget = budget or LineBudget()
+        self._budget = budget or LogRateLimiter()
         self._pending: deque[_PendingLine] = deque()
         self._pending_bytes = 0
         self._lock = threading.Lock()
--- a/traystall/core/sockets.py
+++ b/traystall/core/sockets.py
@@ -10,7 +10,7 @@
 _KEEPALIVE_PROBES = 2
 
 
-def notice_silence(transport) -> None:
+def enable_dead_peer_detection(transport) -> None:
     """Make the kernel close a TCP connection whose peer has stopped responding.
 
     Without these options a connection across a network partition hangs for many minutes.
--- a/traystall/gateway/configuration.py
+++ b/traystall/gateway/configuration.py
@@ -10,7 +10,7 @@
 from traystall.core.exceptions import DeltaMismatch, RpcError
 from traystall.core.logs import decision
 from traystall.evacuations.cache import EvacuationCache, to_wire
-from traystall.gateway.directory import FollowedDirectory
+from traystall.gateway.directory import DirectoryCache
 from traystall.gateway.transfer import CopyFetcher
 from traystall.quarantine.cache import SuspectCache
 from traystall.rpc.client import LinkPool
@@ -102,7 +102,7 @@
         self._controls = controls
         self._neighbours = neighbours
         self._describe = describe
-        self._directory = FollowedDirectory()
+        self._directory = DirectoryCache()
         # The control daemon that replied first at the start; watched first, as it is reachable.
         self._first_responder = ""
         self._fetcher = CopyFetcher(links, describe)
@@ -218,7 +218,7 @@
             inline_bytes=_INLINE_BYTES,
             suspects_version=self.suspects.version,
         )
-        self._directory.describe_base(request, with_directory)
+        self._directory.add_known_version(request, with_directory)
         try:
             return await self._links.link(address).call(request, timeout)
         except RpcError as error:
--- a/traystall/gateway/daemon.py
+++ b/traystall/gateway/daemon.py
@@ -12,7 +12,7 @@
 from traystall.core.ids import new_id
 from traystall.gateway.configuration import ConfigurationFollower
 from traystall.gateway.context import GatewayContext
-from traystall.gateway.front import Front
+from traystall.gateway.front import Frontend
 from traystall.gateway.health import add_health_routes
 from traystall.gateway.ledger import LedgerClient
 from traystall.gateway.presence import PresenceWatcher
@@ -74,7 +74,7 @@
         await self._server.start()
         await self._follower.fetch_newest()
         await self._start_http()
-        self._background = daemon.Background()
+        self._background = daemon.BackgroundTasks()
         self._background.start(self._follower.follow_forever())
         self._background.start(guard.reports.send_forever())
         self._background.start(PresenceWatcher(self._context).watch_forever())
@@ -91,7 +91,7 @@
 
     async def until_stopped(self, stopping: asyncio.Event) -> None:
         """Wait for a stop signal, then drain the requests in flight."""
-        await daemon.first_of(stopping, self._background.failed)
+        await daemon.wait_for_stop_or_failure(stopping, self._background.failed)
         logger.info("draining", extra={"in_flight": self._front.in_flight})
         self._state = "draining"
         self._context.permits.may_grant = False
@@ -146,7 +146,7 @@
 
     async def _start_http(self):
         app = web.Application(client_max_size=self._settings.max_body_bytes)
-        self._front = Front(self._context, self._relay)
+        self._front = Frontend(self._context, self._relay)
         self._front.add_routes(app)
         add_health_routes(app, self._is_ready)
         self._runner = web.AppRunner(
--- a/traystall/gateway/directory.py
+++ b/traystall/gateway/directory.py
@@ -13,14 +13,14 @@
 logger = logging.getLogger(__name__)
 
 
-class FollowedDirectory:
+class DirectoryCache:
     """The rows of the known gateways, sorted by identity; rows without changes are kept."""
 
     def __init__(self):
         self.rows: list[GatewayRow] = []
         self._forget_base()
 
-    def describe_base(self, request: WatchRequest, with_directory: bool = True) -> None:
+    def add_known_version(self, request: WatchRequest, with_directory: bool = True) -> None:
         """Add the known version to a request, so that the reply has only the changes since.
 
         Without `with_directory` the reply has no directory at all. Old daemons send no epoch and
--- a/traystall/gateway/front.py
+++ b/traystall/gateway/front.py
@@ -23,7 +23,7 @@
 logger = logging.getLogger(__name__)
 
 
-class Front:
+class Frontend:
     """Handle `POST /v1/pipelines/{pipeline}/requests` and `GET /v1/requests/{request}`."""
 
     def __init__(self, context: GatewayContext, relay: Relay):
--- a/traystall/gateway/health.py
+++ b/traystall/gateway/health.py
@@ -19,9 +19,9 @@
     async def ready(request: web.Request) -> web.Response:
         return _response(health.ready_page(is_ready()))
 
-    app.router.add_get(health.METRICS, metrics)
-    app.router.add_get(health.LIVE, live)
-    app.router.add_get(health.READY, ready)
+    app.router.add_get(health.METRICS_PATH, metrics)
+    app.router.add_get(health.LIVE_PATH, live)
+    app.router.add_get(health.READY_PATH, ready)
 
 
 def _response(page):
--- a/traystall/gateway/stages.py
+++ b/traystall/gateway/stages.py
@@ -261,7 +261,7 @@
 
     # ---- after a failure ----
 
-    def _look_into_end(self, run, target):
+    def _check_target_end(self, run, target):
         """Check whether a target that was not leaving ended while it ran a request."""
         if target.state is not TargetState.LIVE:
             return
@@ -279,7 +279,7 @@
         """Record a failed attempt; return if the stage may be retried, else raise Refusal."""
         now = clock.monotonic()
         if isinstance(error, TargetDoubt) and error.broken:
-            self._look_into_end(run, target)
+            self._check_target_end(run, target)
         kind = self._learner.on_failure(run, target, error, now)
         run.excluded.add(target.target.name)
         metrics.attempts_total.inc({"stage": run.stage.name, "outcome": kind.value})
--- a/traystall/gateway/transfer.py
+++ b/traystall/gateway/transfer.py
@@ -4,7 +4,7 @@
 import logging
 from collections.abc import Callable
 
-from traystall.catalog.transfers import ChunkPace, IncomingCopy, RevisionCopy
+from traystall.catalog.transfers import ChunkSizer, IncomingCopy, RevisionCopy
 from traystall.core import clock
 from traystall.core.exceptions import DeltaMismatch, RpcError
 from traystall.core.logs import decision
@@ -41,7 +41,7 @@
         self._lock = asyncio.Lock()
         self._sources: list[str] = []
         self._incoming: IncomingCopy | None = None
-        self._pace = ChunkPace()
+        self._pace = ChunkSizer()
         # Number of the revision that is being fetched; 0 if there is none.
         self.number = 0
 
@@ -68,11 +68,11 @@
         offer = reply.offer
         if self._incoming is None or self._incoming.digest != offer.digest:
             self._incoming = IncomingCopy(offer.digest, offer.size)
-            self._pace = ChunkPace()
+            self._pace = ChunkSizer()
         started, initial_offset = clock.monotonic(), self._incoming.offset
         request = TransferRequest(base=reply.base or b"", result=reply.digest, digest=offer.digest)
         failures = await self._pull(request)
-        is_complete = self._incoming.is_whole
+        is_complete = self._incoming.is_complete
         decision(
             "transfer",
             number=reply.number,
@@ -87,7 +87,7 @@
     async def _pull(self, request) -> int:
         """Fetch one chunk after another; return the number of failures."""
         failures = consecutive = 0
-        while not self._incoming.is_whole and self._sources and consecutive < _MAX_FAILURES:
+        while not self._incoming.is_complete and self._sources and consecutive < _MAX_FAILURES:
             try:
                 await self._pull_chunk(request)
                 consecutive = 0
--- a/traystall/http/connection.py
+++ b/traystall/http/connection.py
@@ -243,7 +243,9 @@
         except Exception:
             # The handler failed: the client must get an error instead of waiting.
             logger.exception("request failed")
-            response = None if request.has_begun else text_response(500, "internal error\n")
+            response = (
+                None if request.has_started_response else text_response(500, "internal error\n")
+            )
             if response is None:
                 request.abort()
         if response is not None:
@@ -256,7 +258,7 @@
 
     def _finish(self, request):
         """Start the next request, or first read the rest of the current request body."""
-        if request.is_whole or self._has_failed:
+        if request.is_complete or self._has_failed:
             self._start_next(request)
             return
         request.discard_body()
--- a/traystall/http/health.py
+++ b/traystall/http/health.py
@@ -20,9 +20,9 @@
     async def ready(request: Request, _: str) -> Response:
         return _response(health.ready_page(is_ready()))
 
-    router.add("GET", health.METRICS, metrics)
-    router.add("GET", health.LIVE, live)
-    router.add("GET", health.READY, ready)
+    router.add("GET", health.METRICS_PATH, metrics)
+    router.add("GET", health.LIVE_PATH, live)
+    router.add("GET", health.READY_PATH, ready)
 
 
 def _response(page):
--- a/traystall/http/request.py
+++ b/traystall/http/request.py
@@ -49,11 +49,11 @@
         self._waiter: asyncio.Future | None = None
         self._error: BodyBroken | None = None
         # Whether the whole body has been received.
-        self.is_whole = False
+        self.is_complete = False
         # Whether further parts of the body are dropped.
         self.discards_body = False
         # Whether a streamed response has started.
-        self.has_begun = False
+        self.has_started_response = False
         self.has_ended = False
 
     @property
@@ -76,7 +76,7 @@
 
     async def read(self, limit: int) -> bytes:
         """Return the whole body; raise BodyTooLarge over `limit` bytes, BodyBroken if it breaks."""
-        if self.get("Expect").lower() == "100-continue" and not self.is_whole:
+        if self.get("Expect").lower() == "100-continue" and not self.is_complete:
             self.connection.write(messages.CONTINUE)
         parts = []
         size = 0
@@ -91,7 +91,7 @@
 
     def begin(self, status: int, headers: list[Header]) -> None:
         """Start a streamed response, whose length is not known yet."""
-        self.has_begun = True
+        self.has_started_response = True
         framing = []
         if self._chunks_allowed:
             framing = [(b"Transfer-Encoding", b"chunked")]
@@ -124,7 +124,7 @@
 
     def end_body(self) -> None:
         """Mark the body as complete."""
-        self.is_whole = True
+        self.is_complete = True
         self._wake()
 
     def fail_body(self, why: str) -> None:
@@ -143,7 +143,7 @@
 
     async def _next_part(self):
         while not self._parts:
-            if self.is_whole:
+            if self.is_complete:
                 return b""
             if self._error is not None:
                 raise self._error
--- a/traystall/passthrough/context.py
+++ b/traystall/passthrough/context.py
@@ -27,7 +27,7 @@
 from traystall.quarantine.guard import RequestGuard
 from traystall.registry.follower import RegistryFollower
 from traystall.routes.matching import RouteIndex
-from traystall.systems.permits import FIRST_PART
+from traystall.systems.permits import FIRST_LENDER_SHARE
 from traystall.tables.gateways import GatewayRow
 
 _MIN_CONNECTIONS = 4
@@ -62,8 +62,8 @@
         self.stage_dialect = stage_dialect
         self.random = random_module.Random()
         self.places = DataCentreMonitor(data_centre)
-        ranks = LenderRanking(identity, lender_settle_seconds)
-        self.permits = Permits(identity, self.directory, self.random, ranks)
+        lender_ranking = LenderRanking(identity, lender_settle_seconds)
+        self.permits = Permits(identity, self.directory, self.random, lender_ranking)
         self.board = TargetBoard(self.random, self.max_connections, self.places, self.permits)
         self.notices = TargetNoticeMonitor(names, self.board.reindex)
         self.board.on_send = self.notices.on_request_sent
@@ -80,7 +80,7 @@
         self._stage_seconds: dict[str, float] = {}
         # Number of this gateway's requests whose stages are running, by the pool that they need
         # next.
-        self.coming: Counter[str] = Counter()
+        self.pending_by_pool: Counter[str] = Counter()
         self._engine_scale = 1.0
         # Cached cells, with the generation of targets and the revision that they are based on.
         self._cells = Cells()
@@ -126,7 +126,7 @@
             found = self._budgets[pool] = RepeatBudget(self._budget_rule)
         return found
 
-    def may_repeat(self, pool: str, count: int = 1) -> bool:
+    def consume_repeat(self, pool: str, count: int = 1) -> bool:
         """Take retries from the budget of a pool; return whether the budget allowed them."""
         return self.budget(pool).try_consume(clock.monotonic(), self.gateways(), count)
 
@@ -140,7 +140,7 @@
         """Return whether the data centre of a target is evacuated, so that it gets no new work."""
         return view.report.data_centre in self.board.evacuated
 
-    def lacks_place(self, pool: str, places: tuple[str, ...]) -> bool:
+    def has_no_eligible_targets(self, pool: str, places: tuple[str, ...]) -> bool:
         """Return whether a pool has targets, but all are outside `places` or evacuated."""
         return bool(self.board.pool(pool)) and not self.board.eligible(pool, places)
 
@@ -151,7 +151,7 @@
         """
         return self.board.backoff_left(pool, clock.monotonic(), places)
 
-    def limit_wait(self, pool: str, places: tuple[str, ...] = ()) -> float:
+    def rate_limit_wait(self, pool: str, places: tuple[str, ...] = ()) -> float:
         """Return how long a request would wait for the rate limit of a pool, in seconds.
 
         0 unless all targets of the pool announce a limit. The estimate assumes that every other
@@ -160,9 +160,9 @@
         per_second = self.board.total_rate_limit(pool, places) if self.permits.limits() else None
         if per_second is None:
             return 0.0
-        return self.coming[pool] * self.gateways() / (per_second * FIRST_PART)
+        return self.pending_by_pool[pool] * self.gateways() / (per_second * FIRST_LENDER_SHARE)
 
-    def after_rest(self, seconds: float) -> float:
+    def spread_retry_after(self, seconds: float) -> float:
         """Return a retry delay after a backoff of `seconds`, with jitter to spread the retries."""
         spread = min(
             _MAX_RETRY_SPREAD_SECONDS,
@@ -170,7 +170,7 @@
         )
         return seconds + self.random.uniform(0.0, spread)
 
-    def turn_seconds(self, pool: str, places: tuple[str, ...] = ()) -> float:
+    def permit_interval(self, pool: str, places: tuple[str, ...] = ()) -> float:
         """Return the expected seconds between two permits of this gateway for a limited pool.
 
         0 unless all targets of the pool announce a limit. A caller that retries sooner would
@@ -179,9 +179,11 @@
         per_second = self.board.total_rate_limit(pool, places)
         if per_second is None:
             return 0.0
-        return min(_MAX_PERMIT_INTERVAL_SECONDS, self.gateways() / (per_second * FIRST_PART))
+        return min(
+            _MAX_PERMIT_INTERVAL_SECONDS, self.gateways() / (per_second * FIRST_LENDER_SHARE)
+        )
 
-    def learn_engine(self, usual: float, found: float) -> None:
+    def update_engine_scale(self, usual: float, found: float) -> None:
         """Update the ratio of measured to usual time until an engine's first event."""
         self._engine_scale += _SAMPLE_WEIGHT * (found / max(0.01, usual) - self._engine_scale)
 
@@ -193,7 +195,7 @@
         """Return the gateway that batches the pieces of a cell, or None if it is this one."""
         return self.owners.owner(batching_key(cell), self.cells().data_centres(cell))
 
-    def may_repeat_batched(self, pool: str, cell: str) -> bool:
+    def consume_batched_repeat(self, pool: str, cell: str) -> bool:
         """Take one retry of a piece from the budget of a pool; return whether it was allowed.
 
         The batching owner of a cell sends the pieces of all its gateways, so the budget is
@@ -222,7 +224,7 @@
             self._shared_pools = shared_pools(self.index.table.routes, self.index.pools)
         return self._shared_pools
 
-    def learn_stage(self, pool: str, seconds: float) -> None:
+    def record_stage_seconds(self, pool: str, seconds: float) -> None:
         """Update the expected duration of a stage from a completed one, queueing included."""
         known = self.stage_seconds(pool)
         self._stage_seconds[pool] = known + _SAMPLE_WEIGHT * (seconds - known)
--- a/traystall/passthrough/daemon.py
+++ b/traystall/passthrough/daemon.py
@@ -18,7 +18,7 @@
 from traystall.passthrough.context import PassContext
 from traystall.passthrough.dialect import HeaderNames, PlainStageDialect, StageDialect
 from traystall.passthrough.entry.drain import Drain
-from traystall.passthrough.entry.front import PassFront
+from traystall.passthrough.entry.front import PassFrontend
 from traystall.passthrough.health.cold import ColdStartLimit
 from traystall.passthrough.health.pages import BackoffPages, LimitPages
 from traystall.passthrough.health.probing import DataCentreProber
@@ -104,7 +104,7 @@
         await self._server.start()
         # Connections are accepted at once: requests wait a moment for the first configuration.
         await self._start_front()
-        self._background = daemon.Background()
+        self._background = daemon.BackgroundTasks()
         self._background.start(self._follow_configuration())
         self._background.start(self.gateway_context.registry.follow_forever())
         self._background.start(self.gateway_context.guard.reports.send_forever())
@@ -126,7 +126,7 @@
 
     async def until_stopped(self, stopping: asyncio.Event) -> None:
         """Wait for a stop signal, then drain the requests in flight."""
-        await daemon.first_of(stopping, self._background.failed)
+        await daemon.wait_for_stop_or_failure(stopping, self._background.failed)
         logger.info("draining", extra={"in_flight": self._front.in_flight})
         self._state = "draining"
         self.gateway_context.permits.may_grant = False
@@ -274,7 +274,7 @@
             self.reload()
 
     async def _start_front(self):
-        self._front = PassFront(self.gateway_context)
+        self._front = PassFrontend(self.gateway_context)
         self._callers = HttpServer(self._front.handle)
         await self._callers.listen(self.settings.listen)
         self._health = None
--- a/traystall/passthrough/entry/front.py
+++ b/traystall/passthrough/entry/front.py
@@ -27,7 +27,7 @@
 logger = logging.getLogger(__name__)
 
 
-class PassFront:
+class PassFrontend:
     """Handle callers' requests."""
 
     def __init__(self, context: PassContext):
@@ -177,7 +177,7 @@
             attempts=passed.attempts,
             seconds=round(clock.monotonic() - passed.started, 4),
             stages_seconds=passed.stages_seconds and round(passed.stages_seconds, 4),
-            stages=[made.to_log() for made in passed.made_stages],
+            stages=[made.to_log() for made in passed.completed_stages],
             first_event=passed.first_event and round(passed.first_event, 4),
             events=passed.events,
             pause=round(passed.longest_pause, 4),
--- a/traystall/passthrough/entry/messages.py
+++ b/traystall/passthrough/entry/messages.py
@@ -90,6 +90,6 @@
     return forwarded
 
 
-def answer_headers(head: ResponseHead) -> list[Header]:
+def response_headers(head: ResponseHead) -> list[Header]:
     """Return the headers of a target's response that are forwarded to the caller."""
     return _end_to_end(head.headers, frozenset(), "\0")
--- a/traystall/passthrough/entry/request.py
+++ b/traystall/passthrough/entry/request.py
@@ -24,7 +24,7 @@
 _LARGE_RESULT_BYTES = 1_000_000
 
 
-class MadeStage(msgspec.Struct, frozen=True):
+class CompletedStage(msgspec.Struct, frozen=True):
     """Durations of a completed stage in seconds: in total, waiting for its call, and in the call.
 
     The rest of the total is transfer time between gateways.
@@ -95,7 +95,7 @@
         self.outcome = "broken"
         self.target = ""
         self.stages_seconds: float | None = None
-        self.made_stages: list[MadeStage] = []
+        self.completed_stages: list[CompletedStage] = []
         self.first_event: float | None = None
         self.last_event_at: float | None = None
         self.longest_pause = 0.0
@@ -109,7 +109,7 @@
         return self.route.priority
 
     @property
-    def may_go_elsewhere(self) -> bool:
+    def may_try_another_target(self) -> bool:
         """Return whether the request may be retried at another target."""
         left = self.route.max_attempts - self.attempts
         return self.route.is_safe_to_retry and left > 0 and not self.guarded.trial
@@ -121,7 +121,7 @@
         return f"{self.route.name} {own} {self.prompt.tokens} {self.piece_counts}"
 
     @property
-    def has_heavy_results(self) -> bool:
+    def has_large_results(self) -> bool:
         """Return whether the results of a stage are too large to move between data centres."""
         stages = zip(self.route.stages, self.piece_counts, strict=True)
         return any(count * stage.result_bytes > _LARGE_RESULT_BYTES for stage, count in stages)
@@ -142,7 +142,7 @@
         """Return the seconds left until the final response must be sent."""
         return self.deadline - _RESPONSE_MARGIN_SECONDS - clock.monotonic()
 
-    def wire(self, view, last_event_id: str | None) -> bytes:
+    def to_bytes(self, view, last_event_id: str | None) -> bytes:
         """Return the encoded request for one target, with the deadline that is left now."""
         names = self.names
         left = max(1, int((self.deadline - clock.monotonic()) * 1000))
--- a/traystall/passthrough/entry/sink.py
+++ b/traystall/passthrough/entry/sink.py
@@ -3,7 +3,7 @@
 from traystall.core import clock
 from traystall.http.request import Request
 from traystall.passthrough.entry import events
-from traystall.passthrough.entry.messages import answer_headers
+from traystall.passthrough.entry.messages import response_headers
 from traystall.passthrough.entry.request import PassRequest
 from traystall.passthrough.exceptions import NoAnswer
 from traystall.passthrough.exchange.connection import ResponseHead
@@ -26,14 +26,14 @@
     @property
     def is_open(self) -> bool:
         """Return whether a part of the response was sent to the caller."""
-        return self._request.has_begun
+        return self._request.has_started_response
 
     @property
     def partial(self) -> bytes:
         """Return the received bytes of an incomplete event."""
         return self._splitter.partial
 
-    def begin_part(self, head: ResponseHead) -> None:
+    def start_run(self, head: ResponseHead) -> None:
         """Start to read a run; an incomplete event of an earlier run is discarded."""
         self._splitter = events.EventSplitter()
         if not self.is_open:
@@ -67,4 +67,4 @@
 
     def _open(self):
         if not self.is_open:
-            self._request.begin(self._head.status, answer_headers(self._head))
+            self._request.begin(self._head.status, response_headers(self._head))
--- a/traystall/passthrough/exchange/refusals.py
+++ b/traystall/passthrough/exchange/refusals.py
@@ -65,12 +65,12 @@
 
         The cause is a backoff period or a used-up rate limit.
         """
-        turn = self._context.turn_seconds(passed.pool, passed.places)
+        turn = self._context.permit_interval(passed.pool, passed.places)
         if not turn:
             detail = f"All targets of '{passed.pool}' have asked for rest."
-            return self.refusal(passed, RESTING, detail, self._context.after_rest(seconds))
+            return self.refusal(passed, RESTING, detail, self._context.spread_retry_after(seconds))
         detail = f"What all targets of '{passed.pool}' take is used up."
-        seconds = self._context.after_rest(max(seconds, turn))
+        seconds = self._context.spread_retry_after(max(seconds, turn))
         return self.refusal(passed, LIMITED, detail, seconds)
 
     def refusal(
@@ -93,7 +93,7 @@
         """
         stages = zip(passed.route.stages, passed.piece_counts, strict=True)
         for pool in {passed.pool, *(stage.pool for stage, count in stages if count)}:
-            if self._context.lacks_place(pool, passed.places):
+            if self._context.has_no_eligible_targets(pool, passed.places):
                 code = "evacuated" if self._context.board.evacuated else "no-place"
                 detail = f"No data centre that the request may use has targets of '{pool}'."
                 raise self.refusal(passed, code, detail, EVACUATED_RETRY_AFTER_SECONDS)
@@ -113,7 +113,7 @@
         This applies if all targets of the pool are rate-limited. Requests whose stages are running
         are ahead of this one.
         """
-        wait = self._context.limit_wait(passed.pool, passed.places)
+        wait = self._context.rate_limit_wait(passed.pool, passed.places)
         if wait and wait > self._usual_stages_seconds(passed) + self.max_turn_wait(passed):
             raise self.backoff_refusal(passed, wait - self.max_turn_wait(passed))
 
--- a/traystall/passthrough/exchange/runner.py
+++ b/traystall/passthrough/exchange/runner.py
@@ -15,7 +15,7 @@
 from traystall.http.messages import Response
 from traystall.http.request import Request
 from traystall.passthrough.context import PassContext
-from traystall.passthrough.entry.messages import answer_headers
+from traystall.passthrough.entry.messages import response_headers
 from traystall.passthrough.entry.request import PassRequest
 from traystall.passthrough.entry.sink import StreamSink
 from traystall.passthrough.exceptions import (
@@ -137,7 +137,7 @@
             for stage, count in zip(passed.route.stages, passed.piece_counts, strict=True)
             if count
         }
-        return all(self._context.may_repeat(pool, count) for pool, count in pools.items())
+        return all(self._context.consume_repeat(pool, count) for pool, count in pools.items())
 
     async def _run_stages(self, chain, passed):
         """Run the stages of a request, and set their results as its inputs."""
@@ -146,7 +146,7 @@
         began = clock.monotonic()
         likely_target = await self._choose(passed, book=False)
         passed.stages_data_centre = likely_target.report.data_centre if likely_target else ""
-        self._context.coming[passed.pool] += 1
+        self._context.pending_by_pool[passed.pool] += 1
         try:
             passed.inputs = await self._run_in_cells(chain, passed)
         except InputsLost:
@@ -155,7 +155,7 @@
             code = "busy" if error.retry_after else "stage-failed"
             raise self._refusals.refusal(passed, code, str(error), error.retry_after) from error
         finally:
-            self._context.coming[passed.pool] -= 1
+            self._context.pending_by_pool[passed.pool] -= 1
             passed.stages_seconds = clock.monotonic() - began
 
     async def _run_in_cells(self, chain, passed):
@@ -189,7 +189,7 @@
         A request keeps its cell if its stage results are large, because the engine reads them, or
         if it is restricted to certain data centres.
         """
-        if not cells or passed.places or passed.has_heavy_results:
+        if not cells or passed.places or passed.has_large_results:
             return cell
         board = self._context.board
         stages = zip(passed.route.stages, passed.piece_counts, strict=True)
@@ -226,13 +226,13 @@
             unreachable += failure.kind is FailureKind.UNREACHABLE
             if lost_inputs(failure):
                 passed.tried.discard(view.identity)
-                if not self._context.may_repeat(passed.pool):
+                if not self._context.consume_repeat(passed.pool):
                     return self._finish_failed(passed, sink, failure)
                 raise InputsLost(failure.reason)
             if not may_try_again(passed, failure, unreachable):
                 return self._finish_failed(passed, sink, failure)
             uses_budget = failure.kind is not FailureKind.UNREACHABLE
-            if uses_budget and not self._context.may_repeat(passed.pool):
+            if uses_budget and not self._context.consume_repeat(passed.pool):
                 return self._finish_failed(passed, sink, failure)
             if sink.is_open and passed.inputs:
                 # The stage results were released when the stream began. The target that continues
@@ -330,7 +330,7 @@
         patience = self._refusals.max_turn_wait(passed) if view.limit.is_limited else 0.0
         await attempt.open(max_idle_seconds, patience)
         began = clock.monotonic()
-        attempt.send(passed.wire(view, sink.last_id))
+        attempt.send(passed.to_bytes(view, sink.last_id))
         passed.attempts += 1
         head = await self._read_head_in_time(passed, attempt)
         self._context.places.on_response(view.report.data_centre)
@@ -349,7 +349,7 @@
 
     async def _read_head_in_time(self, passed, attempt):
         """Return the response head; limit the wait if another target may be tried."""
-        if not passed.may_go_elsewhere:
+        if not passed.may_try_another_target:
             return await attempt.read_head()
         patience = self._head_timeout(passed)
         try:
@@ -390,7 +390,7 @@
     async def _relay_events(self, passed, attempt, sink, chain, view):
         """Write the events of a stream to the caller; release the inputs at the first event."""
         sent_at = attempt.sent_at
-        sink.begin_part(attempt.head)
+        sink.start_run(attempt.head)
         async for chunk in attempt.chunks(self._stream_pause_limit(passed)):
             for event in sink.split(chunk):
                 if not sink.is_open:
@@ -399,7 +399,7 @@
                     now = clock.monotonic()
                     view.on_success(0.0, now)
                     first_event_seconds = now - sent_at
-                    self._context.learn_engine(passed.prompt.seconds(), first_event_seconds)
+                    self._context.update_engine_scale(passed.prompt.seconds(), first_event_seconds)
                 await sink.write(event)
         if attempt.head.until_close and sink.partial:
             raise NoAnswer("The stream ended inside an event.", sent=True)
@@ -412,7 +412,7 @@
 
         Return None for a stream that can't be continued: a pause is no reason to abort a response.
         """
-        if not passed.route.resumable or not passed.may_go_elsewhere:
+        if not passed.route.resumable or not passed.may_try_another_target:
             return None
         return max(_MIN_STREAM_PAUSE_SECONDS, passed.route.pause_aim * _STREAM_PAUSE_AIM_FACTOR)
 
@@ -448,4 +448,4 @@
 
 
 def _to_response(response: TargetResponse) -> Response:
-    return Response(response.head.status, answer_headers(response.head), response.body)
+    return Response(response.head.status, response_headers(response.head), response.body)
--- a/traystall/passthrough/health/pages.py
+++ b/traystall/passthrough/health/pages.py
@@ -96,7 +96,7 @@
             "limited_seconds": round(now - limit.since, 3),
             "told_by": limit.source,
             "closed_seconds": round(max(0.0, limit.closed_until - now), 3),
-            "lenders": self._permits.ranks.lenders(report.life, report.data_centre),
+            "lenders": self._permits.lender_ranking.lenders(report.life, report.data_centre),
             "lent_here": self._permits.granted_count(report.life),
         }
 
--- a/traystall/passthrough/stages/batcher.py
+++ b/traystall/passthrough/stages/batcher.py
@@ -63,7 +63,7 @@
         # Keyed by cell and pool.
         self._queues: dict[tuple[str, str], PieceQueue] = {}
         # Keyed by cell.
-        self._books: dict[str, AdmissionController] = {}
+        self._admission_controllers: dict[str, AdmissionController] = {}
         # Keyed by cell: the last known waits of its shared pools in seconds, and when they came in.
         self._queue_waits: dict[str, tuple[dict[str, float], float]] = {}
         # Ids of stage calls whose requests wait for admission.
@@ -116,19 +116,19 @@
         cell = self._cell(request)
         if request.waits:
             age = request.waits_age or 0.0
-            self._book(cell).merge_peer_waits(request.waits, age, clock.monotonic())
+            self._admission_controller(cell).merge_peer_waits(request.waits, age, clock.monotonic())
         verdict = await self._wait_for_admission(request, cell)
         if not verdict.admitted:
             backoff = self._backoff_seconds(request)
-            after_backoff = self._context.after_rest(backoff) if backoff else 0.0
+            after_backoff = self._context.spread_retry_after(backoff) if backoff else 0.0
             retry_after = max(verdict.retry_after, after_backoff)
             return StageReply(
                 handles=[],
                 reasons=[BUSY] * len(request.pieces),
                 retry_after=retry_after,
-                waits=self._book(cell).waits(clock.monotonic()) or None,
+                waits=self._admission_controller(cell).waits(clock.monotonic()) or None,
             )
-        book = self._book(cell)
+        book = self._admission_controller(cell)
         book.requested(request.request_id, request.stage)
         reply = await self._queue(cell, request.pool).run(request, self._locality(request))
         now = clock.monotonic()
@@ -314,7 +314,7 @@
         return route.aim * _ADMISSION_WAIT_RATIO if route is not None else 0.0
 
     def _record_refusal(self, request, cell, verdict, waited):
-        self._book(cell).record_refusal(request.mark or "", clock.monotonic())
+        self._admission_controller(cell).record_refusal(request.mark or "", clock.monotonic())
         metrics.not_admitted_total.inc({"route": request.route or "", "pool": verdict.binding})
         decision(
             "not-admitted",
@@ -352,7 +352,7 @@
         )
         pools = {stage.pool for stage in route.stages}
         loads = {pool: self._queue(cell, pool).load(now) for pool in pools}
-        book = self._book(cell)
+        book = self._admission_controller(cell)
         verdict = book.admit(admission_request, loads, now, self._context.shared_pools())
         if verdict.shared:
             metrics.shared_part.set({"route": route.name}, verdict.part)
@@ -360,11 +360,11 @@
                 metrics.shared_pool_wait.set({"pool": pool}, wait)
         return verdict
 
-    def _book(self, cell) -> AdmissionController:
-        return self._books.setdefault(cell, AdmissionController())
+    def _admission_controller(self, cell) -> AdmissionController:
+        return self._admission_controllers.setdefault(cell, AdmissionController())
 
     def _end_request(self, request_id):
-        for book in self._books.values():
+        for book in self._admission_controllers.values():
             book.ended(request_id)
 
     def _queue(self, cell, pool) -> PieceQueue:
--- a/traystall/passthrough/stages/chain.py
+++ b/traystall/passthrough/stages/chain.py
@@ -5,7 +5,7 @@
 from traystall.core import clock
 from traystall.core.exceptions import GatewayError
 from traystall.core.ids import new_id
-from traystall.passthrough.entry.request import MadeStage
+from traystall.passthrough.entry.request import CompletedStage
 from traystall.quarantine.ends import NOT_LISTENING
 from traystall.rpc.gen.wire.ttypes import StageRequest
 
@@ -114,7 +114,7 @@
             self._context.guard.ended(passed.guarded, plan.pool, life, NOT_LISTENING)
         if all(reply.handles):
             self._record_stage(index, clock.monotonic() - started_at, reply)
-            self._context.learn_stage(plan.pool, clock.monotonic() - started_at)
+            self._context.record_stage_seconds(plan.pool, clock.monotonic() - started_at)
         self._handles[index] = [handle for handle in reply.handles if handle]
         if len(self._handles[index]) < count:
             reasons = sorted({reason for reason in reply.reasons if reason})
@@ -127,8 +127,8 @@
     def _record_stage(self, index, seconds, reply):
         """Record the duration of a stage for the log; a refused request has no results."""
         if reply.handles:
-            made = MadeStage(index, seconds, reply.waited or 0.0, reply.called or 0.0)
-            self._passed.made_stages.append(made)
+            made = CompletedStage(index, seconds, reply.waited or 0.0, reply.called or 0.0)
+            self._passed.completed_stages.append(made)
 
     def _delay(self, index) -> float:
         """Return the delay of a first stage, so that its results are not ready long before others.
--- a/traystall/passthrough/stages/piece_queue.py
+++ b/traystall/passthrough/stages/piece_queue.py
@@ -180,7 +180,7 @@
             if wait > 0.0:
                 self._dispatch_later(wait)
                 return
-            free_bytes = profile.room_bytes * worker.book.share - worker.book.taken(now)
+            free_bytes = profile.room_bytes * worker.book.share - worker.book.used_bytes(now)
             data_centre = view.report.data_centre
             target = FreeTarget(
                 data_centre, workers, waits, rates, self._missing_pools(data_centre)
@@ -216,7 +216,7 @@
             call = self._calls.get(job.call_id)
             backoff = backoffs[job.places]
             if call is not None and backoff and now + backoff > job.deadline:
-                call.retry_after = self._context.after_rest(backoff)
+                call.retry_after = self._context.spread_retry_after(backoff)
                 call.close(job.piece, "", RESTING)
 
     def _usable(self, include_closed=False):
@@ -442,7 +442,7 @@
         return True
 
     def _may_repeat(self) -> bool:
-        return self._context.may_repeat_batched(self._pool, self._cell)
+        return self._context.consume_batched_repeat(self._pool, self._cell)
 
     def _dispatch_later(self, seconds=_REDISPATCH_SECONDS):
         loop = asyncio.get_running_loop()
--- a/traystall/passthrough/stages/room.py
+++ b/traystall/passthrough/stages/room.py
@@ -29,7 +29,7 @@
     def record_free_bytes(self, free: int, capacity_bytes: int, now: float, lifetime: float) -> int:
         """Record the free memory that the worker reports; return what other gateways hold there."""
         self._foreign = 0
-        self._foreign = max(0, capacity_bytes - free - self.taken(now))
+        self._foreign = max(0, capacity_bytes - free - self.used_bytes(now))
         self._foreign_until = now + lifetime
         return self._foreign
 
@@ -71,7 +71,7 @@
         """Use a little more memory again."""
         self.share = min(1.0, self.share + _GROWTH_STEP)
 
-    def taken(self, now: float) -> int:
+    def used_bytes(self, now: float) -> int:
         """Return the memory in use."""
         expired = [handle for handle, (_, _, expires_at) in self._held.items() if expires_at <= now]
         for handle in expired:
--- a/traystall/passthrough/stages/worker_rates.py
+++ b/traystall/passthrough/stages/worker_rates.py
@@ -1,6 +1,6 @@
 """Estimate the throughput of targets. Pure; monotonic seconds, rates in pieces per second."""
 
-from traystall.systems.permits import FIRST_PART
+from traystall.systems.permits import FIRST_LENDER_SHARE
 
 
 def rate_of_workers(workers, profile, now) -> float:
@@ -20,4 +20,4 @@
 def _calls_per_second(worker, limit, profile, seconds) -> float:
     """Return the full calls per second that a target answers, given its slots and rate limit."""
     unlimited = profile.slots / seconds / worker.ratio
-    return unlimited if limit is None else min(unlimited, limit * FIRST_PART)
+    return unlimited if limit is None else min(unlimited, limit * FIRST_LENDER_SHARE)
--- a/traystall/permits/broadcast.py
+++ b/traystall/permits/broadcast.py
@@ -74,7 +74,7 @@
         found: dict[str, list[str]] = {}
         undistributed, self._permits.undistributed = self._permits.undistributed, set()
         for life, limit in list(limits.items()):
-            lenders = self._permits.ranks.lenders(life, self._data_centre_of(life))
+            lenders = self._permits.lender_ranking.lenders(life, self._data_centre_of(life))
             if lenders and own == lenders[0]:
                 others = [name for name in self._sent if name != own]
                 recipients = [n for n in others if self._needs_update(n, life, limit.per_second)]
--- a/traystall/permits/lenders.py
+++ b/traystall/permits/lenders.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from traystall.systems.permits import FIRST_PART, SECOND_PART
+from traystall.systems.permits import FIRST_LENDER_SHARE, SECOND_LENDER_SHARE
 from traystall.systems.rendezvous import rendezvous_order
 from traystall.tables.gateways import GatewayRow
 
@@ -70,8 +70,8 @@
             return 0.0
         rankings = [view.lenders_for(life, data_centre) for view in self._views]
         if all(ranking[:1] == [self._own] for ranking in rankings):
-            return FIRST_PART
-        return SECOND_PART if all(self._own in ranking for ranking in rankings) else 0.0
+            return FIRST_LENDER_SHARE
+        return SECOND_LENDER_SHARE if all(self._own in ranking for ranking in rankings) else 0.0
 
     def _remove_old_views(self, now):
         """Remove views that were replaced before the last `settle_seconds`."""
--- a/traystall/permits/permits.py
+++ b/traystall/permits/permits.py
@@ -68,12 +68,12 @@
         identity: str,
         rows: Callable[[], Iterable[GatewayRow]],
         random,
-        ranks: LenderRanking | None = None,
+        lender_ranking: LenderRanking | None = None,
     ):
         self.identity = identity
         self.links: LinkPool | None = None
         self.may_grant = True
-        self.ranks = ranks or LenderRanking(identity)
+        self.lender_ranking = lender_ranking or LenderRanking(identity)
         self._rows = rows
         self._random = random
         self._limits: dict[str, TargetLimit] = {}
@@ -170,7 +170,7 @@
 
     def refresh_lenders(self) -> None:
         """Update the lenders from the current directory of gateways."""
-        self.ranks.note(self._rows(), clock.monotonic())
+        self.lender_ranking.note(self._rows(), clock.monotonic())
 
     # ---- acquiring permits ----
 
@@ -195,7 +195,7 @@
             patience=patience,
             spare=is_spare,
         )
-        for lender in self.ranks.lenders(life, data_centre):
+        for lender in self.lender_ranking.lenders(life, data_centre):
             reply = await self._request_permit(lender, request)
             if reply is None or not reply.lends:
                 continue
@@ -276,7 +276,11 @@
         now = clock.monotonic()
         life = request.known.life
         self._merge_record(request.known, request.sender)
-        part = self.ranks.part(life, request.data_centre or "", now) if self.may_grant else 0.0
+        part = (
+            self.lender_ranking.part(life, request.data_centre or "", now)
+            if self.may_grant
+            else 0.0
+        )
         limit = self.limit(life)
         if not part:
             return PermitReply(lends=False, granted=False, known=self.record(life))
--- a/traystall/rpc/client.py
+++ b/traystall/rpc/client.py
@@ -9,7 +9,7 @@
 
 from traystall.core import clock
 from traystall.core.exceptions import RpcError, RpcRefused, RpcTimeout, RpcUnavailable
-from traystall.core.sockets import notice_silence
+from traystall.core.sockets import enable_dead_peer_detection
 from traystall.rpc import traffic
 from traystall.rpc.framing import make_hello, read_sized_frame, write_frame
 from traystall.rpc.gen.wire.ttypes import Frame, Method
@@ -122,7 +122,7 @@
                     reply=False,
                     body=encode(self._identity.hello()),
                 )
-                notice_silence(writer.transport)
+                enable_dead_peer_detection(writer.transport)
                 write_frame(writer, hello)
         except (OSError, TimeoutError, ValueError, OverflowError) as error:
             # ValueError and OverflowError: a peer reported an invalid address.
--- a/traystall/rpc/copies.py
+++ b/traystall/rpc/copies.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from traystall.catalog.transfers import PackedCopies, PackedCopy, RevisionCopy
+from traystall.catalog.transfers import PackedCopy, PackedCopyCache, RevisionCopy
 from traystall.rpc.gen.wire.ttypes import (
     Offer,
     TransferReply,
@@ -20,7 +20,7 @@
 
     def __init__(self, copy_from: Callable[[bytes], RevisionCopy]):
         self._copy_from = copy_from
-        self._packed = PackedCopies()
+        self._packed = PackedCopyCache()
 
     def fill(self, reply: WatchReply, request: WatchRequest) -> None:
         """Put the update for the subscriber into `reply`, or an offer if the update is large."""
--- a/traystall/rpc/server.py
+++ b/traystall/rpc/server.py
@@ -5,7 +5,7 @@
 import logging
 
 from traystall.core.exceptions import RpcError, RpcRefused
-from traystall.core.sockets import notice_silence
+from traystall.core.sockets import enable_dead_peer_detection
 from traystall.rpc import traffic
 from traystall.rpc.framing import read_frame, refusal_reason, write_frame
 from traystall.rpc.gen.wire.ttypes import Frame, Hello, Method
@@ -44,7 +44,7 @@
     async def _serve_link(self, reader, writer):
         task = asyncio.current_task()
         self._tasks.add(task)
-        notice_silence(writer.transport)
+        enable_dead_peer_detection(writer.transport)
         try:
             hello = await self._read_hello(reader, writer)
             if hello is not None:
--- a/traystall/systems/permits.py
+++ b/traystall/systems/permits.py
@@ -10,10 +10,10 @@
 
 # The share of a limit that its first lender grants. A target may count a request's connection as
 # well, and twice this share still stays within the tolerance of 1.5 times the limit.
-FIRST_PART = 0.7
+FIRST_LENDER_SHARE = 0.7
 # The share that the second lender grants to gateways that can't reach the first. Both shares
 # together don't exceed the limit.
-SECOND_PART = 0.3
+SECOND_LENDER_SHARE = 0.3
 # Unused capacity accumulates for up to this many seconds and may then be granted in a burst.
 _BURST_SECONDS = 0.1
 # A gateway that requested a permit within this many seconds counts as an active requester.
