--- a/traystall/quarantine/ends.py
+++ b/traystall/quarantine/ends.py
@@ -45,8 +45,8 @@
 class TargetIncarnation(msgspec.Struct, frozen=True):
     """One incarnation of a target, with callables to check on it.
 
-    `evidence()` returns other evidence of its end, or an empty string. `answered_at()` returns when
-    it last responded to this gateway, in monotonic seconds.
+    `evidence()` returns other evidence of its end, or an empty string. `last_response_at()` returns
+    when it last responded to this gateway, in monotonic seconds.
     """
 
     life: str
