--- a/traystall/catalog/deltas.py
+++ b/traystall/catalog/deltas.py
@@ -1,4 +1,4 @@
-"""Entity-level differences between two revisions, and the digest that names a revision."""
+"""Entity-level differences between two revisions, and the digest that identifies a revision."""
 
 import hashlib
 
@@ -9,7 +9,7 @@
 
 
 class Delta(msgspec.Struct, frozen=True):
-    """Turn the revision with digest `base` into the one with digest `result`."""
+    """The changes from the revision with digest `base` to the one with digest `result`."""
 
     base: bytes
     result: bytes
@@ -18,12 +18,12 @@
 
     @property
     def changed(self) -> list[str]:
-        """Return the keys that the delta touches."""
+        """Return the keys that the delta adds, replaces or deletes."""
         return [*self.puts, *self.deletes]
 
 
 def entities_digest(entities: dict[str, bytes]) -> bytes:
-    """Return the digest of a set of encoded entities; order does not matter."""
+    """Return the digest of a set of encoded entities; it does not depend on their order."""
     total = hashlib.sha256()
     for key in sorted(entities):
         value = entities[key]
@@ -45,13 +45,16 @@
 def apply_delta(base: dict[str, bytes], base_digest: bytes, delta: Delta) -> dict[str, bytes]:
     """Return the result of `delta`; raise DeltaMismatch on a wrong base or result."""
     if base_digest != delta.base:
-        raise DeltaMismatch("The delta starts from another revision than the one held here.")
-    # Built once: a set for each key took 196 ms for 1,400 renamed keys; this takes 2 ms.
+        raise DeltaMismatch(
+            "The base digest of the delta differs from the digest of the local revision."
+        )
+    # The set is built once. Building it for each key took 196 ms for 1,400 renamed keys, and
+    # building it once takes 2 ms.
     deleted = set(delta.deletes)
     result = {key: value for key, value in base.items() if key not in deleted}
     result.update(delta.puts)
     if entities_digest(result) != delta.result:
-        raise DeltaMismatch("The delta does not lead to the revision that it names.")
-    # Packing takes quadratic time if a low key comes last: 658 ms for 16,000 entities, but
-    # 40 ms if they are sorted by key.
+        raise DeltaMismatch("The result of the delta does not match its result digest.")
+    # Sorted keys keep packing linear. With a low key at the end, packing takes quadratic time:
+    # 658 ms for 16,000 entities, against 40 ms for sorted ones.
     return dict(sorted(result.items()))
--- a/traystall/cli/main.py
+++ b/traystall/cli/main.py
@@ -1,7 +1,8 @@
-"""The `traystall` program: operators' commands, through fire.
+"""The `traystall` command-line program for operators, built on fire.
 
-Exit codes: 0 done; 1 no control daemon reachable; 2 bad arguments or bundle;
-3 another content holds the number; 4 in doubt, or not yet in force; 5 refused.
+Exit codes: 0 success; 1 no control daemon reachable; 2 invalid arguments or bundle;
+3 the number belongs to a bundle with other content; 4 outcome unknown, or the configuration
+is not yet in force; 5 refused.
 """
 
 import asyncio
@@ -36,8 +37,8 @@
 from traystall.core.exceptions import BundleError, ClientError
 from traystall.rpc.gen.wire import ttypes
 
-_POLL_SECONDS = 0.1
-_GRACE_SECONDS = 5.0
+_STATUS_POLL_SECONDS = 0.1
+_RESPONSE_MARGIN_SECONDS = 5.0
 
 
 class Traystall:
@@ -71,14 +72,14 @@
 
     def check(self, bundle, number=None):
         """Check a bundle without calling anyone; list every problem."""
-        loaded = _load(bundle, number)
-        counts = _count_kinds(loaded.entities)
+        loaded = _load_bundle(bundle, number)
+        counts = _count_entity_kinds(loaded.entities)
         show({"number": loaded.number, "digest": loaded.digest.hex(), **counts}, self._output)
 
     def diff(self, bundle, number=None):
         """Show what applying a bundle would change."""
-        loaded = _load(bundle, number)
-        reply = self._call_client(_watch_full)
+        loaded = _load_bundle(bundle, number)
+        reply = self._call_client(_fetch_configuration)
         delta = make_delta(reply.puts or {}, loaded.encoded)
         old = reply.puts or {}
         result = {
@@ -91,7 +92,7 @@
 
     def apply(self, bundle, number=None, wait=True, operator=None):
         """Apply a whole bundle; with --wait, return once it is in force everywhere."""
-        loaded = _load(bundle, number)
+        loaded = _load_bundle(bundle, number)
         request = ttypes.ApplyRequest(
             number=loaded.number,
             digest=loaded.digest,
@@ -159,7 +160,7 @@
         if not_repeatable:
             headers["Traystall-Not-Repeatable"] = "true"
         document = _read_body(body)
-        seconds = (deadline_ms or 3_600_000) / 1000 + _GRACE_SECONDS
+        seconds = (deadline_ms or 3_600_000) / 1000 + _RESPONSE_MARGIN_SECONDS
         status, answer = asyncio.run(
             post_request(str(gateway), str(pipeline), headers, document, seconds)
         )
@@ -176,9 +177,9 @@
         """Follow a request through collected log files: LOGS is FILE,FILE,... or - for input."""
         names = [logs] if isinstance(logs, str) else list(logs)
         names = [part for name in names for part in str(name).split(",")]
-        found = trace_request(str(request), _log_lines(names))
+        found = trace_request(str(request), _read_log_lines(names))
         if not found.steps:
-            raise Refused(f"No line of these logs names request '{request}'.")
+            raise Refused(f"The logs contain no line about request '{request}'.")
         document = {
             "request": found.request,
             "outcome": found.outcome,
@@ -212,7 +213,7 @@
         return await client.call_leader(ttypes.StatusRequest(token=self._token))
 
     async def _wait_in_force(self, client, number):
-        """Return the gateways that have the number in force, once all live ones do."""
+        """Wait until every live gateway has the revision in force; return their instance names."""
         deadline = clock.monotonic() + self._seconds
         while True:
             reply = await self._read_status(client)
@@ -220,20 +221,22 @@
             if not lagging:
                 return [g.instance for g in reply.gateways or ()]
             if clock.monotonic() > deadline:
-                raise InDoubt(f"Accepted, but not yet in force at: {', '.join(lagging)}.")
-            await asyncio.sleep(_POLL_SECONDS)
+                raise InDoubt(
+                    f"The bundle was accepted but is not yet in force at: {', '.join(lagging)}."
+                )
+            await asyncio.sleep(_STATUS_POLL_SECONDS)
 
 
-def _load(path, number):
+def _load_bundle(path, number):
     try:
         return load_bundle(str(path), number)
     except BundleError as error:
         lines = "\n".join(f"  {problem}" for problem in error.problems)
-        raise BadUsage(f"The bundle '{path}' can't be used:\n{lines}") from error
+        raise BadUsage(f"The bundle '{path}' is invalid:\n{lines}") from error
 
 
-def _log_lines(names):
-    """Yield the log lines of files; raise BadUsage for one that can't be read."""
+def _read_log_lines(names):
+    """Yield the log lines of all files; raise BadUsage if a file can't be read."""
     for name in names:
         try:
             with sys.stdin if name == "-" else open(name, encoding="utf-8") as file:
@@ -242,8 +245,8 @@
             raise BadUsage(f"'{name}' can't be read: {error}.") from error
 
 
-async def _watch_full(client):
-    """Return a full copy of the configuration from any control daemon."""
+async def _fetch_configuration(client):
+    """Fetch a full copy of the configuration; any control daemon can answer."""
     gateway = ttypes.GatewayRecord(
         identity="operator/diff",
         instance="operator",
@@ -270,7 +273,7 @@
     return document
 
 
-def _count_kinds(entities):
+def _count_entity_kinds(entities):
     counts: dict[str, int] = {}
     for key in entities:
         kind = key.split("/")[0]
@@ -285,11 +288,11 @@
     for document in documents:
         if document is not None:
             return document
-    raise Refused(f"No live gateway remembers request '{request}'.")
+    raise Refused(f"No live gateway has a record of request '{request}'.")
 
 
 def main() -> None:
-    """Run the client and exit with a documented code."""
+    """Run the program and exit with one of the codes listed above."""
     try:
         fire.Fire(Traystall, name="traystall")
     except ClientError as error:
--- a/traystall/cli/members.py
+++ b/traystall/cli/members.py
@@ -4,7 +4,7 @@
 from traystall.cli.output import show
 from traystall.rpc.gen.wire import ttypes
 
-# A replacement returns only once it has caught up.
+# The leader answers an addition or a replacement only after the new member has caught up.
 _CHANGE_TIMEOUT_SECONDS = 90.0
 
 
@@ -47,7 +47,7 @@
     def _probe(self, address, data_centre):
         reply = self._call_client(lambda client: client.probe(str(address)))
         if not reply.identity:
-            raise BadUsage(f"{address} is not a control daemon.")
+            raise BadUsage(f"The process at {address} is not a control daemon.")
         return ttypes.Member(
             identity=reply.identity,
             address=str(address),
--- a/traystall/cli/output.py
+++ b/traystall/cli/output.py
@@ -1,4 +1,4 @@
-"""Print results as text for people or as JSON for scripts."""
+"""Print command results as text or JSON."""
 
 import json
 
@@ -8,38 +8,38 @@
 
 
 def show(result: dict, output: str) -> None:
-    """Print one result document in the chosen format."""
+    """Print a result document as text or JSON; raise BadUsage for another format."""
     if output not in FORMATS:
         raise BadUsage(f"--output must be one of {', '.join(FORMATS)}, not '{output}'.")
     if output == "json":
         print(json.dumps(result, sort_keys=True))
         return
-    for line in _lines(result, ""):
+    for line in _format_lines(result, ""):
         print(line)
 
 
-def _lines(value, indent):
+def _format_lines(value, indent):
     if isinstance(value, dict):
         for key, item in value.items():
-            yield from _field(key, item, indent)
+            yield from _format_field(key, item, indent)
     elif isinstance(value, list):
         for item in value:
-            yield f"{indent}- {_flat(item)}"
+            yield f"{indent}- {_format_inline(item)}"
     else:
         yield f"{indent}{value}"
 
 
-def _field(key, item, indent):
+def _format_field(key, item, indent):
     if isinstance(item, dict | list) and item:
         yield f"{indent}{key}:"
-        yield from _lines(item, indent + "  ")
+        yield from _format_lines(item, indent + "  ")
     else:
-        yield f"{indent}{key}: {_flat(item)}"
+        yield f"{indent}{key}: {_format_inline(item)}"
 
 
-def _flat(item):
+def _format_inline(item):
     if isinstance(item, dict):
-        return ", ".join(f"{key}={_flat(value)}" for key, value in item.items())
+        return ", ".join(f"{key}={_format_inline(value)}" for key, value in item.items())
     if isinstance(item, list):
-        return ", ".join(_flat(value) for value in item) or "none"
+        return ", ".join(_format_inline(value) for value in item) or "none"
     return str(item)
--- a/traystall/cli/rests.py
+++ b/traystall/cli/rests.py
@@ -1,4 +1,7 @@
-"""The `traystall rests` commands: list, lift; and `traystall limits list`."""
+"""The `traystall rests` commands (list, lift) and `traystall limits list`.
+
+A rest is a backoff period that a target requested with Retry-After.
+"""
 
 import asyncio
 from urllib.parse import quote
@@ -6,12 +9,12 @@
 from traystall.cli.client import Refused, Unreachable, call_page
 from traystall.cli.output import show
 
-_PAGE = "/v1/rests"
-_LIMITS = "/v1/limits"
+_RESTS_PATH = "/v1/rests"
+_LIMITS_PATH = "/v1/limits"
 
 
-class _GatewayPages:
-    """Call the pages of one pass-through gateway."""
+class _GatewayCommands:
+    """Call the operator endpoints of one pass-through gateway."""
 
     def __init__(self, secret, output):
         self._secret = secret
@@ -22,25 +25,28 @@
         if status == 200:
             return document
         if document is None:
-            raise Unreachable(f"{gateway} gave no answer that can be read.")
+            raise Unreachable(f"The gateway at {gateway} did not return a JSON document.")
         raise Refused(f"{document.get('code')}: {document.get('detail')}")
 
 
-class Limits(_GatewayPages):
-    """Show what targets take from all gateways together, as one pass-through gateway knows it."""
+class Limits(_GatewayCommands):
+    """Show the limits that targets set for all gateways, as known to one pass-through gateway."""
 
     def list(self, gateway):
         """Show the targets that name a limit, as GATEWAY (its health IP:PORT) knows them."""
-        show(self._call("GET", gateway, _LIMITS), self._output)
+        show(self._call("GET", gateway, _LIMITS_PATH), self._output)
 
 
-class Rests(_GatewayPages):
-    """Show and lift what targets have asked one pass-through gateway for."""
+class Rests(_GatewayCommands):
+    """Show and lift the backoff periods that targets requested from one pass-through gateway."""
 
     def list(self, gateway):
         """Show the targets that rest or leave by their answers to GATEWAY (its health IP:PORT)."""
-        show(self._call("GET", gateway, _PAGE), self._output)
+        show(self._call("GET", gateway, _RESTS_PATH), self._output)
 
     def lift(self, gateway, target):
         """Let GATEWAY (its health IP:PORT) send to TARGET before it has rested."""
-        show(self._call("DELETE", gateway, f"{_PAGE}/{quote(str(target), safe='')}"), self._output)
+        show(
+            self._call("DELETE", gateway, f"{_RESTS_PATH}/{quote(str(target), safe='')}"),
+            self._output,
+        )
--- a/traystall/rpc/records.py
+++ b/traystall/rpc/records.py
@@ -1,11 +1,14 @@
-"""Turn rows of the gateway directory into wire records and back."""
+"""Conversion between rows of the gateway directory and wire records."""
 
 from traystall.rpc.gen.wire.ttypes import GatewayRecord, Member
 from traystall.tables.gateways import GatewayRow
 
 
 def to_row(record: GatewayRecord, seen_at: float, direct: bool) -> GatewayRow:
-    """Return a record as a row seen at `seen_at`, in monotonic seconds of this process."""
+    """Convert a wire record to a row.
+
+    `seen_at` is in seconds of this process's monotonic clock.
+    """
     return GatewayRow(
         identity=record.identity,
         instance=record.instance,
@@ -25,7 +28,10 @@
 
 
 def to_record(row: GatewayRow, now: float) -> GatewayRecord:
-    """Return a row as a record that carries its age."""
+    """Convert a row to a wire record.
+
+    The record carries the age of the row because monotonic clocks differ between processes.
+    """
     return GatewayRecord(
         identity=row.identity,
         instance=row.instance,
@@ -44,7 +50,7 @@
 
 
 def to_wire_member(member) -> Member:
-    """Return a member record as a wire message."""
+    """Convert a member of the control group to a wire message."""
     return Member(
         identity=member.identity,
         address=member.address,
