--- a/tests/catalog/test_highest.py
+++ b/tests/catalog/test_highest.py
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize("order", list(itertools.permutations([2, 5, 7, 9])))
-def test_any_order_ends_at_the_highest(order):
+def test_highest_number_wins_in_any_order(order):
     catalog = Catalog()
     highest = 0
     for number in order:
@@ -29,7 +29,7 @@
         assert catalog.entities == {"k": b"%d" % highest}
 
 
-def test_other_content_under_the_held_number_changes_nothing():
+def test_other_content_with_the_current_number_is_ignored():
     catalog = Catalog()
     catalog.supersede(supersede(catalog, 3, b"first"))
     result = catalog.supersede(supersede(catalog, 3, b"second"))
@@ -37,7 +37,7 @@
     assert catalog.entities == {"k": b"first"}
 
 
-def test_stale_base_is_made_anew():
+def test_delta_with_a_stale_base_needs_a_rebase():
     catalog = Catalog()
     late = supersede(catalog, 4, b"late")
     catalog.supersede(supersede(catalog, 3, b"first"))
@@ -45,7 +45,7 @@
     assert catalog.number == 3
 
 
-def test_survives_a_snapshot():
+def test_highest_number_survives_a_snapshot():
     state = StateMachine()
     for number in (1, 4, 6):
         state.apply(pack(supersede(state.catalog, number, b"%d" % number)))
--- a/tests/catalog/test_state.py
+++ b/tests/catalog/test_state.py
@@ -13,7 +13,7 @@
 
 
 def bundle(catalog, number, entities, operator="ana"):
-    """Return the command that asks for `entities` as `number`, made against the newest state."""
+    """Return a command that applies `entities` as `number`, based on the newest state."""
     delta = make_delta(catalog.entities, entities)
     return ApplyBundle(number, entities_digest(entities), operator, delta)
 
@@ -22,7 +22,7 @@
     return catalog.apply(bundle(catalog, number, entities)).outcome
 
 
-def test_resend_gets_the_same_answer_also_after_later_revisions():
+def test_resent_bundle_gets_the_same_reply_after_later_revisions():
     catalog = Catalog()
     first = bundle(catalog, 1, {"a": b"1"})
     assert catalog.apply(first).outcome is ApplyOutcome.ACCEPTED
@@ -35,7 +35,7 @@
         assert held.entities == {"a": b"2"}
 
 
-def test_other_content_is_told_the_winner():
+def test_conflict_reports_the_accepted_bundle():
     catalog = Catalog()
     catalog.apply(bundle(catalog, 5, {"a": b"1"}, "ana"))
     result = catalog.apply(bundle(catalog, 5, {"a": b"2"}, "bao"))
@@ -52,7 +52,7 @@
     assert catalog.entities == {"b": b"1"}
 
 
-def test_delta_refuses_a_wrong_base_and_a_wrong_result():
+def test_wrong_base_or_result_of_a_delta_raises():
     delta = make_delta({"a": b"1"}, {"a": b"2"})
     with pytest.raises(DeltaMismatch):
         apply_delta({"b": b"1"}, entities_digest({"b": b"1"}), delta)
@@ -65,8 +65,8 @@
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_matches_the_naive_version(seed):
-    """Differential: racing operators against a dict of winners; gateways only move forward."""
+def test_catalog_matches_the_naive_model(seed):
+    """Compares racing operators with a dict of winners; the number of a gateway never decreases."""
     rng = random.Random(seed)
     catalog, winners, newest = Catalog(), {}, 0
     held = [HeldRevision() for _ in range(3)]
@@ -103,7 +103,7 @@
     assert revision.entities == winners.get(catalog.number, {})
 
 
-def test_gateway_never_steps_back_and_survives_a_bad_delta():
+def test_gateway_revision_never_decreases_and_survives_a_bad_delta():
     held = HeldRevision()
     held.take(
         WatchReply(number=3, digest=entities_digest({"a": b"3"}), full=True, puts={"a": b"3"})
--- a/tests/catalog/test_transfers.py
+++ b/tests/catalog/test_transfers.py
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("damage", ["cut", "changed", "none of ours"])
-def test_damaged_bytes_are_refused(damage):
+def test_damaged_bytes_are_rejected(damage):
     packed = pack_copy(full_copy({"a": b"1"}, b"r"))
     data = {
         "cut": packed.data[:-1],
@@ -77,7 +77,7 @@
         incoming.unpack()
 
 
-def test_a_copy_is_packed_once_and_the_oldest_goes_first():
+def test_copy_is_packed_once_and_the_oldest_is_evicted_first():
     made = []
 
     def make(name):
@@ -97,8 +97,8 @@
     assert kept.find(pack_copy(full_copy({"a": b"2"}, b"2")).digest) is None
 
 
-def test_what_failures_in_a_row_waste_is_bounded():
-    """Late chunks are discarded: consecutive ones add up to less than two initial chunks."""
+def test_bytes_wasted_by_consecutive_failures_are_bounded():
+    """Late chunks are discarded: failures in a row waste less than two initial chunks."""
     pace, wasted = ChunkSizer(), 0
     for _ in range(4):
         wasted += pace.bytes
@@ -110,7 +110,7 @@
 
 
 def test_deltas_of_renamed_entities_take_linear_time():
-    """All 4,000 keys change, as happens when a route is inserted before the others."""
+    """Inserting a route before the others changes all 4,000 keys."""
     old = {f"routes/{i:06d}": b"%d" % i for i in range(4000)}
     new = {f"routes/{i + 9000:06d}": b"%d" % i for i in range(4000)}
     delta = make_delta(old, new)
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -16,7 +16,10 @@
 
 
 class _Site:
-    """Serve on a free port; `seen` holds method, target and body of what was handled."""
+    """A server on a free port and a connection to it.
+
+    `seen` holds the method, target and body of each handled request.
+    """
 
     def __init__(self, handler=None, bounds=None):
         self.seen = []
@@ -37,7 +40,7 @@
         return Response(200, [(b"X-Own", b"1")], body)
 
     async def answer(self):
-        """Return status, headers and body of the next answer."""
+        """Read the next response; return its status, headers and body."""
         head = await self.reader.readuntil(b"\r\n\r\n")
         first, *lines = head.decode().strip().split("\r\n")
         headers = dict(line.split(": ", 1) for line in lines)
@@ -70,7 +73,7 @@
 )
 
 
-def test_a_connection_serves_one_request_after_the_other():
+def test_connection_serves_sequential_requests():
     async def play():
         async with _Site() as site:
             answers = []
@@ -89,7 +92,7 @@
     assert seen[0] == ("POST", "/a?b=%2F", b"one")
 
 
-def test_requests_sent_together_are_answered_in_their_order():
+def test_pipelined_requests_are_answered_in_order():
     async def slow_first(request):
         body = await request.read(_LIMIT)
         await asyncio.sleep(0.05 if body == b"one" else 0.0)
@@ -130,7 +133,7 @@
         (UPGRADE, 400),
     ],
 )
-def test_what_is_no_request_is_refused_and_never_handled(wire, status):
+def test_invalid_request_is_rejected_before_the_handler(wire, status):
     async def play():
         async with _Site() as site:
             site.writer.write(wire + _post(b"smuggled"))
@@ -142,7 +145,7 @@
     assert (found, headers["Connection"], seen) == (status, "close", [])
 
 
-def test_a_head_without_end_is_refused():
+def test_endless_request_head_is_rejected():
     async def play():
         async with _Site() as site:
             site.writer.write(b"GET / HTTP/1.1\r\nX: ")
@@ -170,7 +173,7 @@
     assert run(play())[2] == b"still here"
 
 
-def test_an_answer_before_the_end_of_the_body_does_not_let_the_rest_in_as_a_request():
+def test_unread_body_after_an_early_response_is_not_parsed_as_a_request():
     async def refuse(request):
         return text_response(503, "busy\n")
 
@@ -190,7 +193,7 @@
     assert run(play()) == (503, 503)
 
 
-def test_a_body_over_its_limit_is_told_to_the_handler():
+def test_oversized_body_raises_in_the_handler():
     async def play():
         async with _Site() as site:
             site.writer.write(_post(b"x" * (_LIMIT + 1)))
@@ -200,7 +203,7 @@
     assert status == 500
 
 
-def test_a_caller_that_leaves_ends_the_work_for_it():
+def test_client_disconnect_cancels_the_handler():
     cancelled = asyncio.Event()
 
     async def wait(request):
@@ -228,7 +231,7 @@
     request.end()
 
 
-def test_an_answer_in_parts_is_chunked_and_the_connection_stays():
+def test_streamed_response_is_chunked_and_keeps_the_connection_open():
     async def play():
         async with _Site(_stream) as site:
             found = []
@@ -242,7 +245,7 @@
         assert headers["Content-Type"] == "text/event-stream"
 
 
-def test_an_older_caller_gets_the_parts_up_to_the_close():
+def test_http_1_0_client_reads_a_streamed_response_until_close():
     async def play():
         async with _Site(_stream) as site:
             site.writer.write(b"GET / HTTP/1.0\r\n\r\n")
@@ -254,7 +257,7 @@
 
 
 @pytest.mark.parametrize("begins", [True, False])
-def test_a_handler_that_fails_leaves_no_caller_waiting(begins):
+def test_failed_handler_ends_the_response(begins):
     async def fail(request):
         if begins:
             request.begin(200, [])
@@ -267,7 +270,7 @@
             return await site.reader.read(10_000) + await site.reader.read()
 
     if begins:
-        # Broken off: nothing that could be taken for a whole answer.
+        # The response breaks off without the last chunk, so that it can't pass for a complete one.
         try:
             assert not run(play()).endswith(b"0\r\n\r\n")
         except ConnectionResetError:
@@ -282,7 +285,7 @@
         assert run(once())[0] == 500
 
 
-def test_a_caller_that_does_not_read_holds_the_writer_up():
+def test_client_that_does_not_read_blocks_the_writer():
     async def flood(request):
         request.begin(200, [])
         for number in range(10_000):
@@ -300,7 +303,7 @@
     assert run(play()) < 1000
 
 
-def test_a_caller_that_asks_first_is_told_to_go_on():
+def test_expect_100_continue_gets_an_interim_response():
     async def play():
         async with _Site() as site:
             head = b"POST / HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n"
@@ -314,7 +317,7 @@
     assert (status, body) == (200, b"ok")
 
 
-def test_a_head_request_gets_no_body():
+def test_head_request_gets_no_body():
     async def page(request):
         return text_response(200, "page")
 
@@ -329,7 +332,7 @@
     assert (status, body) == (200, b"page")
 
 
-def test_a_stop_closes_idle_connections_and_answers_a_request_that_was_on_its_way():
+def test_shutdown_closes_idle_connections_and_answers_a_partly_received_request():
     async def play():
         async with _Site() as site:
             idle, _ = await asyncio.open_connection("127.0.0.1", site.server.port)
@@ -345,7 +348,7 @@
 
 
 @pytest.mark.parametrize(("sent", "status"), [(b"GET / HT", 408), (b"", 0)])
-def test_slow_heads_and_idle_connections_are_closed(sent, status):
+def test_slow_request_heads_and_idle_connections_time_out(sent, status):
     async def play():
         async with _Site(bounds=ConnectionLimits(head_seconds=5.0, idle_seconds=20.0)) as site:
             site.writer.write(sent)
--- a/tests/platform/test_control_api.py
+++ b/tests/platform/test_control_api.py
@@ -14,7 +14,7 @@
 
 
 class Leader:
-    """Take orders, or fail as told."""
+    """Records orders, or raises the given error."""
 
     def __init__(self, error=None):
         self.orders = []
@@ -28,7 +28,7 @@
 
 
 @contextlib.asynccontextmanager
-async def api(error=None):
+async def start_api(error=None):
     control = type("Control", (), {})()
     control.leader = Leader(error)
     server = HttpServer(ControlApi(control).router().handle)
@@ -39,7 +39,7 @@
         await server.close(0.1)
 
 
-async def send(port, method, zone="north"):
+async def send_order(port, method, zone="north"):
     url = f"http://127.0.0.1:{port}/traystall/evacuate/{zone}"
     async with aiohttp.ClientSession() as session, session.request(method, url) as response:
         return response.status
@@ -47,44 +47,44 @@
 
 def test_orders_are_passed_to_the_leader():
     async def scenario():
-        async with api() as (leader, port):
-            assert await send(port, "POST") == 200
-            assert await send(port, "DELETE") == 200
+        async with start_api() as (leader, port):
+            assert await send_order(port, "POST") == 200
+            assert await send_order(port, "DELETE") == 200
             assert leader.orders == [("north", True), ("north", False)]
 
     asyncio.run(scenario())
 
 
-def test_unknown_zone_is_a_404_and_doubt_a_503():
+def test_unknown_zone_is_404_and_unknown_outcome_is_503():
     async def scenario():
         for error, status in (
             (RpcRefused(UNKNOWN_DATA_CENTRE, "no such"), 404),
             (RpcRefused("in-doubt", "no majority"), 503),
             (RpcTimeout("late"), 503),
         ):
-            async with api(error) as (_, port):
-                assert await send(port, "POST", "nowhere") == status
+            async with start_api(error) as (_, port):
+                assert await send_order(port, "POST", "nowhere") == status
 
     asyncio.run(scenario())
 
 
-def test_order_whose_sender_left_while_the_process_was_frozen_is_dropped():
-    """The operator may have sent the order to another daemon, and may have revoked it since."""
+def test_order_of_a_disconnected_client_is_dropped_after_a_freeze():
+    """The operator may have sent the order to another daemon and revoked it afterwards."""
 
     async def scenario():
-        async with api() as (leader, port):
+        async with start_api() as (leader, port):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(b"POST /traystall/evacuate/north HTTP/1.1\r\nHost: c\r\n\r\n")
             writer.close()
             await asyncio.sleep(0.1)
             assert leader.orders == []
-            assert await send(port, "POST") == 200
+            assert await send_order(port, "POST") == 200
 
     asyncio.run(scenario())
 
 
 class Registry:
-    """Keep the reports that a control daemon takes."""
+    """Records the reports that a control daemon accepts."""
 
     def __init__(self):
         self.reports = []
@@ -93,8 +93,8 @@
         self.reports.append(report)
 
 
-async def beat(fields):
-    """Return the answer to a heartbeat with more `fields`, and the reports that came of it."""
+async def send_heartbeat(fields):
+    """Send a heartbeat with extra `fields`; return the status and the recorded reports."""
     control = type("Control", (), {})()
     control.registry = Registry()
     server = HttpServer(ControlApi(control).router().handle)
@@ -108,13 +108,13 @@
         await server.close(0.1)
 
 
-def test_heartbeat_tells_when_its_life_began():
-    status, (report,) = asyncio.run(beat({"born": 1786675920632}))
+def test_heartbeat_reports_the_start_time_of_its_incarnation():
+    status, (report,) = asyncio.run(send_heartbeat({"born": 1786675920632}))
     assert (status, report.started, report.life) == (200, 1786675920632, "i-1@1786675920632")
-    status, (report,) = asyncio.run(beat({}))
+    status, (report,) = asyncio.run(send_heartbeat({}))
     assert (status, report.started, report.life) == (200, 0, "i-1")
 
 
 @pytest.mark.parametrize("born", ["1786675920632", 1.5, -1, 2**63, True, None, [], {}])
-def test_heartbeat_whose_start_is_no_whole_number_names_no_target(born):
-    assert asyncio.run(beat({"born": born})) == (400, [])
+def test_heartbeat_with_an_invalid_start_time_is_rejected(born):
+    assert asyncio.run(send_heartbeat({"born": born})) == (400, [])
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -42,7 +42,7 @@
     return json.dumps({**DOCUMENT, **fields}).encode()
 
 
-def test_what_is_read_back_is_what_was_sent():
+def test_documents_survive_a_round_trip():
     version, entities = documents.check(changed())
     assert json.loads(documents.join(version, entities)) == DOCUMENT
 
@@ -59,13 +59,13 @@
     assert table.customers[0].keys == ("k1", "k2")
 
 
-def test_without_tenants_no_key_is_wanted():
+def test_document_without_tenants_needs_no_key():
     document = {key: value for key, value in DOCUMENT.items() if key != "tenants"}
     assert documents.translate(*documents.check(json.dumps(document).encode())).customers is None
 
 
 @pytest.mark.parametrize("length", [0, 1, 40, 400, len(changed()) - 1])
-def test_document_that_is_cut_short_is_refused(length):
+def test_truncated_document_is_rejected(length):
     with pytest.raises(BundleError):
         documents.check(changed()[:length])
 
@@ -90,7 +90,7 @@
         },
     ],
 )
-def test_invalid_document_is_refused_with_its_fault(fields):
+def test_invalid_document_is_rejected_with_its_problem(fields):
     with pytest.raises(BundleError) as caught:
         documents.check(changed(**fields))
     assert caught.value.problems and all(problem.id for problem in caught.value.problems)
@@ -123,7 +123,7 @@
     assert table.customers[0].may_enter("s-b")
 
 
-def test_region_that_nobody_knows_does_not_mean_anywhere():
+def test_unknown_region_does_not_allow_every_data_centre():
     table = translated(routes=[{**ROUTE, "allowed-regions": ["west"]}])
     assert table.routes[0].data_centres == ("west",)
     assert translated().routes[0].data_centres == ()
--- a/tests/platform/test_forged_headers.py
+++ b/tests/platform/test_forged_headers.py
@@ -5,7 +5,7 @@
 
 from traystall.passthrough.entry.messages import CallerRequest, RequestWriter
 
-OURS = (
+RESERVED_HEADERS = (
     "X-Hold",
     "X-Pin-Ms",
     "X-Kv-Backup",
@@ -28,21 +28,21 @@
     return [line.partition(b":")[0].decode() for line in head.split(b"\r\n")[1:]]
 
 
-@pytest.mark.parametrize("name", OURS)
+@pytest.mark.parametrize("name", RESERVED_HEADERS)
 @pytest.mark.parametrize("spell", SPELLINGS)
 @pytest.mark.parametrize("times", [1, 2, 3])
-def test_header_of_ours_is_left_out(name, spell, times):
+def test_reserved_header_of_a_client_is_removed(name, spell, times):
     got = sent_to_target([("X-Model", "m"), *[(spell(name), f"forged-{n}") for n in range(times)]])
     assert [found.lower() for found in got] == ["x-model", "content-length"]
 
 
-@pytest.mark.parametrize("name", OURS)
-def test_one_of_our_own_stands_once_beside_forged_ones(name):
+@pytest.mark.parametrize("name", RESERVED_HEADERS)
+def test_own_reserved_header_replaces_forged_ones(name):
     got = sent_to_target([(name.lower(), "forged"), (name, "forged")], {name: "own"})
     assert [found.lower() for found in got].count(name.lower()) == 1
 
 
-@pytest.mark.parametrize("name", OURS)
-def test_naming_it_for_the_connection_does_not_help_it(name):
+@pytest.mark.parametrize("name", RESERVED_HEADERS)
+def test_reserved_header_listed_in_connection_is_removed(name):
     got = sent_to_target([("Connection", f"close, {name}"), (name, "forged")])
     assert name.lower() not in [found.lower() for found in got]
--- a/tests/platform/test_names.py
+++ b/tests/platform/test_names.py
@@ -5,11 +5,11 @@
 
 
 @pytest.mark.parametrize(("told", "at_most"), [("0", 1_000_000), ("33", 34_000_000)])
-def test_room_is_told_in_whole_megabytes_so_it_is_taken_for_the_most_it_may_be(told, at_most):
+def test_free_megabytes_are_read_as_their_upper_bound(told, at_most):
     body = b'{"num-waiting":1,"busy-slots":1,"free-mb":%s}' % told.encode()
     assert RunnerStages().free_bytes(body) == at_most
 
 
-def test_report_without_room_is_an_error():
+def test_report_without_free_memory_is_an_error():
     with pytest.raises(ValueError):
         RunnerStages().free_bytes(b'{"stage":"mixed"}')
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("grace", [6, 8, 12, 30])
-def test_stop_ends_before_the_grace_does(grace):
+def test_drain_ends_within_the_grace_period(grace):
     settings = gateway.make_settings(NodeFile.parse(f"{EDGE}bounds.grace-s={grace}\n"))
     longest = settings.drain_notice + settings.drain_limit
     assert grace * 5 / 6 <= longest <= grace - 0.5
@@ -40,16 +40,16 @@
 
 
 @pytest.mark.parametrize(
-    ("extra", "founds"), [("bootstrap=true", True), ("bootstrap=false", False), ("", False)]
+    ("extra", "forms_group"), [("bootstrap=true", True), ("bootstrap=false", False), ("", False)]
 )
-def test_only_a_first_start_founds_a_group(extra, founds):
+def test_only_bootstrap_forms_a_new_group(extra, forms_group):
     settings = control.make_settings(NodeFile.parse(CORE + extra))
-    assert bool(settings.initial_members) is founds
+    assert bool(settings.initial_members) is forms_group
     assert settings.join == ["10.1.0.44:7740", "10.2.0.27:7740"]
     assert settings.number_rule == "highest" and settings.self_repair
 
 
-def test_one_that_is_no_seed_joins():
+def test_node_that_is_not_a_seed_joins():
     settings = control.make_settings(
         NodeFile.parse(CORE.replace("ip=10.1.0.44", "ip=10.9.0.1") + "bootstrap=true")
     )
--- a/tests/rpc/test_link_metrics.py
+++ b/tests/rpc/test_link_metrics.py
@@ -18,15 +18,15 @@
 from traystall.rpc.server import RpcServer
 
 _LINE = re.compile(r"(\w+)\{(.*)\} (\S+)")
-# Longer than a call of these tests may wait, and far shorter than a test may last, in seconds.
-_SHORT = 0.05
+# Timeout of calls that must time out, far below the time limit of a test.
+_SHORT_TIMEOUT_SECONDS = 0.05
 _BIG_REPLY_BYTES = 300_000
-# More than the kernel takes for a peer that does not read, and less than a body may hold.
+# Exceeds the kernel's socket buffers and stays below the maximum size of a message body.
 _UNSENT_BYTES = 15 * 1024 * 1024
 
 
-def figures():
-    """Return every figure of a metrics page, by name and set of labels."""
+def read_metrics():
+    """Return the value of each metric by name and set of labels."""
     found = {}
     for line in render_metrics([])[0].decode().splitlines():
         if match := _LINE.fullmatch(line):
@@ -35,35 +35,37 @@
     return found
 
 
-def figure(page, name, **labels):
-    """Return one figure of a page, 0 if it is missing."""
+def metric_value(page, name, **labels):
+    """Return the value of one metric, or 0 if it is missing."""
     return page.get((f"traystall_rpc_{name}", frozenset(labels.items())), 0.0)
 
 
-class Growth:
-    """Tell by how much figures have grown since this was made."""
+class MetricIncrease:
+    """Measures the increase of metrics since its creation."""
 
     def __init__(self):
-        self._before = figures()
+        self._before = read_metrics()
 
     def __call__(self, name, **labels):
-        return figure(figures(), name, **labels) - figure(self._before, name, **labels)
+        return metric_value(read_metrics(), name, **labels) - metric_value(
+            self._before, name, **labels
+        )
 
 
 class MemoryWriter:
-    """Collect what a link would send."""
+    """A writer that keeps the bytes in memory."""
 
     def __init__(self):
         self.data = b""
 
     def write(self, data):
-        """Keep it."""
+        """Append the bytes."""
         self.data += data
 
 
 @contextlib.asynccontextmanager
-async def linked(handler, role="gateway"):
-    """Give a link to a server that answers with `handler`."""
+async def open_link(handler, role="gateway"):
+    """Start a server with `handler` and yield a link to it."""
     server = RpcServer("127.0.0.1:0", "cluster", "", handler)
     await server.start()
     host, port = server._server.sockets[0].getsockname()
@@ -75,7 +77,7 @@
         await server.stop()
 
 
-async def until(condition):
+async def wait_for_condition(condition):
     """Wait until `condition()` holds."""
     async with asyncio.timeout(10.0):
         while not condition():
@@ -83,7 +85,7 @@
 
 
 async def answer(request):
-    """Answer a probe as its instance says."""
+    """Refuse, delay or answer a probe, depending on its instance name."""
     if request.instance == "refused":
         raise RpcRefused("code", "detail")
     if request.instance == "slow":
@@ -92,28 +94,28 @@
 
 
 def test_bytes_are_counted_by_direction_and_kind():
-    growth = Growth()
+    increase = MetricIncrease()
 
     async def scenario():
-        async with linked(answer) as link:
+        async with open_link(answer) as link:
             await link.call(ProbeRequest(instance="name"), 5.0)
 
     asyncio.run(scenario())
-    # Both ends run in this process, so all that was written was read too.
+    # Both ends run in this process, so the bytes written equal the bytes read.
     for kind, least, most in (
         ("probe", _BIG_REPLY_BYTES, _BIG_REPLY_BYTES + 200),
         ("hello", 20, 200),
     ):
-        assert least < growth("bytes_total", direction="out", kind=kind) < most
-        assert growth("bytes_total", direction="in", kind=kind) == growth(
+        assert least < increase("bytes_total", direction="out", kind=kind) < most
+        assert increase("bytes_total", direction="in", kind=kind) == increase(
             "bytes_total", direction="out", kind=kind
         )
-    assert growth("bytes_total", direction="out", kind="watch") == 0
+    assert increase("bytes_total", direction="out", kind="watch") == 0
 
 
-def test_the_size_of_a_frame_counts_its_length_prefix():
+def test_frame_size_includes_the_length_prefix():
     frame = Frame(call_id=1, method=Method.CLAIM, reply=True, body=b"x" * 100)
-    growth = Growth()
+    increase = MetricIncrease()
 
     async def scenario():
         writer = MemoryWriter()
@@ -125,13 +127,13 @@
         return size
 
     size = asyncio.run(scenario())
-    assert growth("bytes_total", direction="out", kind="claim") == size
-    assert growth("bytes_total", direction="in", kind="claim") == size
+    assert increase("bytes_total", direction="out", kind="claim") == size
+    assert increase("bytes_total", direction="in", kind="claim") == size
 
 
 @pytest.mark.parametrize("data", [encode(Frame(call_id=1, method=9999)), b"\xff" * 30])
-def test_frames_of_no_known_kind_share_one_name(data):
-    growth = Growth()
+def test_frames_of_unknown_methods_share_one_label(data):
+    increase = MetricIncrease()
 
     async def scenario():
         reader = asyncio.StreamReader()
@@ -140,10 +142,10 @@
             await read_sized_frame(reader)
 
     asyncio.run(scenario())
-    assert growth("bytes_total", direction="in", kind="unknown") == len(data) + 4
+    assert increase("bytes_total", direction="in", kind="unknown") == len(data) + 4
 
 
-def test_every_method_has_a_kind_of_its_own():
+def test_every_method_has_a_distinct_kind():
     kinds = {traffic.kind_of(method) for method in REQUEST_TYPES}
     assert len(kinds) == len(REQUEST_TYPES)
     assert traffic.UNKNOWN_KIND not in kinds
@@ -158,46 +160,46 @@
         ("slow", "timed-out", RpcTimeout),
     ],
 )
-def test_calls_are_counted_by_outcome_with_their_seconds(instance, outcome, error):
-    growth = Growth()
+def test_calls_are_counted_by_outcome_with_their_duration(instance, outcome, error):
+    increase = MetricIncrease()
 
     async def scenario():
-        async with linked(answer) as link:
+        async with open_link(answer) as link:
             expected = pytest.raises(error) if error else contextlib.nullcontext()
             with expected:
-                timeout = _SHORT if outcome == "timed-out" else 5.0
+                timeout = _SHORT_TIMEOUT_SECONDS if outcome == "timed-out" else 5.0
                 await link.call(ProbeRequest(instance=instance), timeout)
 
     asyncio.run(scenario())
-    assert growth("calls_total", kind="probe", outcome=outcome) == 1
-    assert growth("call_seconds_count", kind="probe") == 1
-    assert growth("call_seconds_bucket", kind="probe", le="+Inf") == 1
-    least = _SHORT * 0.9 if outcome == "timed-out" else 0.0
-    assert least < growth("call_seconds_sum", kind="probe") < 5.0
+    assert increase("calls_total", kind="probe", outcome=outcome) == 1
+    assert increase("call_seconds_count", kind="probe") == 1
+    assert increase("call_seconds_bucket", kind="probe", le="+Inf") == 1
+    least = _SHORT_TIMEOUT_SECONDS * 0.9 if outcome == "timed-out" else 0.0
+    assert least < increase("call_seconds_sum", kind="probe") < 5.0
 
 
-def test_calls_that_reach_nobody_or_are_cancelled_are_counted_apart():
-    growth = Growth()
+def test_unavailable_and_cancelled_calls_are_counted_separately():
+    increase = MetricIncrease()
 
     async def scenario():
-        async with linked(answer) as link:
+        async with open_link(answer) as link:
             call = asyncio.create_task(link.call(ProbeRequest(instance="slow"), 5.0))
-            await asyncio.sleep(_SHORT)
+            await asyncio.sleep(_SHORT_TIMEOUT_SECONDS)
             call.cancel()
             await asyncio.gather(call, return_exceptions=True)
         with pytest.raises(RpcUnavailable):
             await link.call(ProbeRequest(), 5.0)
 
     asyncio.run(scenario())
-    assert growth("calls_total", kind="probe", outcome="cancelled") == 1
-    assert growth("calls_total", kind="probe", outcome="unavailable") == 1
-    assert growth("calls_total", kind="probe", outcome="timed-out") == 0
-    assert growth("late_reply_bytes_total", kind="probe") == 0
+    assert increase("calls_total", kind="probe", outcome="cancelled") == 1
+    assert increase("calls_total", kind="probe", outcome="unavailable") == 1
+    assert increase("calls_total", kind="probe", outcome="timed-out") == 0
+    assert increase("late_reply_bytes_total", kind="probe") == 0
 
 
-def test_late_replies_are_counted_and_told_once_a_second(caplog, monkeypatch):
+def test_late_replies_are_counted_and_logged_once_an_interval(caplog, monkeypatch):
     caplog.set_level(logging.INFO, "traystall.rpc.client")
-    growth = Growth()
+    increase = MetricIncrease()
     now = [100.0]
     monkeypatch.setattr(clock, "monotonic", lambda: now[0])
 
@@ -213,18 +215,19 @@
             gate.clear()
             for _ in range(times):
                 with pytest.raises(RpcTimeout):
-                    await link.call(ProbeRequest(instance="late"), _SHORT)
-            late = growth("late_reply_bytes_total", kind="probe")
+                    await link.call(ProbeRequest(instance="late"), _SHORT_TIMEOUT_SECONDS)
+            late = increase("late_reply_bytes_total", kind="probe")
             gate.set()
-            await until(
+            await wait_for_condition(
                 lambda: (
-                    growth("late_reply_bytes_total", kind="probe") - late > times * _BIG_REPLY_BYTES
+                    increase("late_reply_bytes_total", kind="probe") - late
+                    > times * _BIG_REPLY_BYTES
                 )
             )
 
-        async with linked(answer_late) as link:
+        async with open_link(answer_late) as link:
             await link.call(ProbeRequest(instance="in time"), 5.0)
-            assert growth("late_reply_bytes_total", kind="probe") == 0
+            assert increase("late_reply_bytes_total", kind="probe") == 0
             await give_up(link, 3)
             now[0] += client._LATE_LOG_INTERVAL_SECONDS / 2
             await give_up(link, 1)
@@ -234,8 +237,8 @@
             return link.address
 
     address = asyncio.run(scenario())
-    assert growth("calls_total", kind="probe", outcome="timed-out") == 5
-    late = growth("late_reply_bytes_total", kind="probe")
+    assert increase("calls_total", kind="probe", outcome="timed-out") == 5
+    late = increase("late_reply_bytes_total", kind="probe")
     assert 5 * _BIG_REPLY_BYTES < late < 5 * (_BIG_REPLY_BYTES + 100)
     assert [record.getMessage() for record in caplog.records] == ["late reply"] * 2
     for record in caplog.records:
@@ -244,36 +247,36 @@
 
 
 @pytest.mark.parametrize(("role", "told"), [("gateway", "gateway"), ('a"b\n', "other")])
-def test_unsent_bytes_are_told_by_role_of_the_peer_until_the_link_ends(role, told):
+def test_unsent_bytes_are_reported_by_peer_role_until_the_link_closes(role, told):
     def unsent():
-        return figure(figures(), "unsent_bytes", link="accepted", peer=told)
+        return metric_value(read_metrics(), "unsent_bytes", link="accepted", peer=told)
 
     async def answer_much(request):
         return ProbeReply(identity="x" * _UNSENT_BYTES)
 
     async def scenario():
         assert unsent() == 0
-        async with linked(answer_much, role) as link:
+        async with open_link(answer_much, role) as link:
             await link._ensure_open()
             link._writer.transport.pause_reading()
             call = asyncio.create_task(link.call(ProbeRequest(), 30.0))
-            await until(lambda: unsent() > 0)
+            await wait_for_condition(lambda: unsent() > 0)
             assert unsent() <= _UNSENT_BYTES + 100
             link._writer.transport.resume_reading()
             await call
             assert unsent() == 0
             link._writer.transport.pause_reading()
             call = asyncio.create_task(link.call(ProbeRequest(), 30.0))
-            await until(lambda: unsent() > 0)
+            await wait_for_condition(lambda: unsent() > 0)
             call.cancel()
-        await until(lambda: unsent() == 0)
+        await wait_for_condition(lambda: unsent() == 0)
 
     asyncio.run(scenario())
 
 
-def test_unsent_bytes_of_opened_links_are_told():
+def test_unsent_bytes_of_outgoing_links_are_reported():
     def unsent():
-        return figure(figures(), "unsent_bytes", link="opened", peer="any")
+        return metric_value(read_metrics(), "unsent_bytes", link="opened", peer="any")
 
     async def scenario():
         async def read_nothing(reader, writer):
@@ -284,10 +287,10 @@
         host, port = server.sockets[0].getsockname()
         link = Link(f"{host}:{port}", LinkIdentity("cluster", "gateway", "g"))
         with pytest.raises(RpcTimeout):
-            await link.call(StatusRequest(), _SHORT)
+            await link.call(StatusRequest(), _SHORT_TIMEOUT_SECONDS)
         assert unsent() == 0
         with pytest.raises(RpcTimeout):
-            await link.call(ProbeRequest(instance="x" * _UNSENT_BYTES), _SHORT)
+            await link.call(ProbeRequest(instance="x" * _UNSENT_BYTES), _SHORT_TIMEOUT_SECONDS)
         assert 0 < unsent() <= _UNSENT_BYTES + 100
         await link.close()
         assert unsent() == 0
--- a/tests/rpc/test_links.py
+++ b/tests/rpc/test_links.py
@@ -16,7 +16,7 @@
 
 
 class ClosedWriter:
-    """Behave like a stream whose transport the event loop has just closed."""
+    """A writer whose transport the event loop has just closed."""
 
     transport = None
 
@@ -24,18 +24,18 @@
         raise RuntimeError("unable to perform operation; the handler is closed")
 
     def close(self):
-        """Nothing to close."""
+        """Do nothing; the transport is closed already."""
 
 
 class OpenWriter(ClosedWriter):
-    """Take everything and send nothing."""
+    """A writer that accepts all bytes and sends none."""
 
     def write(self, data):
-        """Forget it."""
+        """Discard the bytes."""
 
 
 @pytest.mark.parametrize("call", [True, False], ids=["call", "send"])
-def test_write_on_a_closed_transport_is_unavailable(call):
+def test_write_on_a_closed_transport_raises_unavailable(call):
     async def scenario():
         link = Link("127.0.0.1:1", LinkIdentity("c", "gateway", "g"))
         link._writer = ClosedWriter()
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("ends", ["its own frame breaks the link", "its caller is cancelled"])
-def test_error_of_a_call_that_nobody_awaits_is_not_reported_as_lost(ends):
+def test_error_of_an_abandoned_call_is_not_reported_as_never_retrieved(ends):
     reported = []
 
     async def scenario():
@@ -106,7 +106,7 @@
         asyncio.run(call("slow", timeout=0.05))
 
 
-def test_foreign_cluster_and_wrong_secret_are_refused():
+def test_other_cluster_and_wrong_secret_are_refused():
     with pytest.raises(RpcRefused, match="belongs to cluster 'cluster'"):
         asyncio.run(call("name", cluster="other"))
     with pytest.raises(RpcRefused, match="not signed"):
@@ -114,7 +114,7 @@
     assert asyncio.run(call("name", secret="right", server_secret="right")).identity == "name"
 
 
-def test_calls_in_one_link_are_not_crossed():
+def test_concurrent_calls_on_a_link_get_their_own_replies():
     async def scenario():
         async def echo(request):
             await asyncio.sleep(0.001 * (int(request.instance) % 7))
