--- a/tests/cli/test_quarantine.py
+++ b/tests/cli/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Commands for quarantined requests, during which targets have ended."""
+"""Commands that list and lift quarantined requests; targets have crashed while running them."""
 
 import asyncio
 import json
@@ -10,8 +10,8 @@
 from traystall.rpc.gen.wire import ttypes
 
 
-class Client:
-    """Answer calls of the leader."""
+class LeaderClient:
+    """A client whose leader replies with one suspect."""
 
     def __init__(self):
         self.requests = []
@@ -36,12 +36,12 @@
         return ttypes.StatusReply(suspects=[detail])
 
 
-def commands(client):
+def quarantine_commands(client):
     return Quarantine(lambda action: asyncio.run(action(client)), "token", "json")
 
 
-def test_list_shows_what_is_held_and_nothing_of_the_request(capsys):
-    commands(Client()).list()
+def test_list_shows_the_suspect_without_the_request_body(capsys):
+    quarantine_commands(LeaderClient()).list()
     (shown,) = json.loads(capsys.readouterr().out)["suspects"]
     assert shown == {
         "suspect": "01ff",
@@ -58,14 +58,14 @@
     }
 
 
-def test_lift_names_the_suspect_as_it_was_listed(capsys):
-    client = Client()
-    commands(client).lift("01ff", operator="eva")
+def test_lift_sends_the_listed_digest(capsys):
+    client = LeaderClient()
+    quarantine_commands(client).lift("01ff", operator="eva")
     (request,) = client.requests
     assert (request.digest, request.operator, request.token) == (b"\x01\xff", "eva", "token")
     assert json.loads(capsys.readouterr().out) == {"lifted": True}
 
 
-def test_lift_of_what_is_no_suspect_is_a_clear_error():
+def test_lift_of_an_invalid_digest_is_a_usage_error():
     with pytest.raises(BadUsage, match="quarantine list"):
-        commands(Client()).lift("not hex")
+        quarantine_commands(LeaderClient()).lift("not hex")
--- a/tests/cli/test_reference.py
+++ b/tests/cli/test_reference.py
@@ -9,7 +9,7 @@
 from traystall.cli.reference import PAGES, main
 
 ROOT = Path(__file__).resolve().parents[2]
-# Each package may import those below it in this list, and itself.
+# A package may import itself and the packages below it in this list.
 LAYERS = (
     "cli",
     "passthrough",
@@ -34,7 +34,7 @@
 )
 # The wire messages are generated data classes: every layer may use them.
 EVERYWHERE = "traystall.rpc.gen"
-# The client shows what the daemons declare.
+# The command-line client prints declarations of the daemons.
 ALLOWED = {("gateway", "control"): False, ("control", "gateway"): False}
 
 
@@ -51,7 +51,7 @@
             yield node.module
 
 
-def test_packages_depend_downwards_only():
+def test_packages_import_only_lower_layers():
     wrong = []
     for path in sorted((ROOT / "traystall").rglob("*.py")):
         package = path.relative_to(ROOT / "traystall").parts[0]
@@ -66,8 +66,8 @@
     assert wrong == []
 
 
-# Decisions of the pass-through gateway that a test drives without a loop or a socket.
-PURE = [
+# Decision modules of the pass-through gateway, testable without an event loop or a socket.
+DECISION_MODULES = [
     "admission/controller",
     "admission/calibration",
     "admission/crowding",
@@ -88,11 +88,11 @@
     "stages/worker_rates",
     "stages/workers",
 ]
-IMPURE = ("asyncio", "socket", "httptools", "logging", "random", "time", "traystall.core")
+IO_MODULES = ("asyncio", "socket", "httptools", "logging", "random", "time", "traystall.core")
 
 
-@pytest.mark.parametrize("name", PURE)
-def test_decisions_import_nothing_that_waits_or_tells_the_time(name):
+@pytest.mark.parametrize("name", DECISION_MODULES)
+def test_decision_modules_import_no_io_and_no_clock(name):
     path = ROOT / "traystall" / "passthrough" / f"{name}.py"
     found = set()
     for node in ast.walk(ast.parse(path.read_text())):
@@ -101,31 +101,35 @@
         elif isinstance(node, ast.ImportFrom):
             found.add(node.module)
     own = {module.removeprefix("traystall.passthrough.").replace(".", "/") for module in found}
-    assert not [module for module in found if module.startswith(IMPURE)]
+    assert not [module for module in found if module.startswith(IO_MODULES)]
     inside = {
         module for module in own if (ROOT / "traystall/passthrough" / f"{module}.py").exists()
     }
-    assert inside <= set(PURE)
+    assert inside <= set(DECISION_MODULES)
 
 
 @pytest.mark.parametrize("name", ["rendezvous", "permits", "target_limits", "retry_after"])
-def test_decisions_of_both_gateways_import_nothing_that_waits_or_tells_the_time(name):
+def test_shared_decision_modules_import_no_io_and_no_clock(name):
     path = ROOT / "traystall" / "systems" / f"{name}.py"
-    modules = {module for node in ast.walk(ast.parse(path.read_text())) for module in named(node)}
-    assert not [module for module in modules if module.startswith(IMPURE)]
+    modules = {
+        module
+        for node in ast.walk(ast.parse(path.read_text()))
+        for module in imported_modules(node)
+    }
+    assert not [module for module in modules if module.startswith(IO_MODULES)]
 
 
-def named(node):
+def imported_modules(node):
     if isinstance(node, ast.Import):
         return [alias.name for alias in node.names]
     return [node.module] if isinstance(node, ast.ImportFrom) else []
 
 
-@pytest.mark.parametrize("words", [["--help"], ["--unknown", "x"], ["--folder"], []])
-def test_words_that_name_no_folder_write_nothing(tmp_path, monkeypatch, words):
-    """Guards against a parser that takes a flag such as `--help` as the path of the folder."""
+@pytest.mark.parametrize("arguments", [["--help"], ["--unknown", "x"], ["--folder"], []])
+def test_arguments_without_a_folder_write_nothing(tmp_path, monkeypatch, arguments):
+    """Guards against a parser that uses a flag such as `--help` as the folder path."""
     monkeypatch.chdir(tmp_path)
-    monkeypatch.setattr("sys.argv", ["reference", *words])
+    monkeypatch.setattr("sys.argv", ["reference", *arguments])
     with contextlib.suppress(SystemExit):
         main()
     assert [path.name for path in tmp_path.iterdir()] == []
--- a/tests/cli/test_rests.py
+++ b/tests/cli/test_rests.py
@@ -19,9 +19,9 @@
 
 
 def run_scenario(scenario, secret=SECRET):
-    """Run `story(gateway, address)` on a gateway with two targets, one of them at rest."""
+    """Run `scenario(gateway, address)` on a gateway with two targets, one of them backing off."""
 
-    async def bounded():
+    async def run_with_timeout():
         targets = [("plain", await Runner(f"t-{number}").start()) for number in range(2)]
         async with asyncio.timeout(20), EmulatedGateway(table(), targets) as gateway:
             availability = gateway.context.board.view("t-0").availability
@@ -36,10 +36,10 @@
         for _, target in targets:
             await target.stop()
 
-    asyncio.run(bounded())
+    asyncio.run(run_with_timeout())
 
 
-def test_list_shows_who_rests_until_when_and_at_whose_word(capsys):
+def test_list_shows_backoff_periods_and_the_requests_that_set_them(capsys):
     async def scenario(gateway, address):
         leaving = gateway.context.board.view("t-1").availability
         leaving.leaves = True
@@ -59,7 +59,7 @@
     run_scenario(scenario)
 
 
-def test_list_shows_who_is_limited_to_what_by_whose_word_and_what_was_lent(capsys):
+def test_list_shows_rate_limits_their_source_and_granted_permits(capsys):
     async def scenario(gateway, address):
         permits, now = gateway.context.permits, clock.monotonic()
         permits.observe_answer("t-1", AnnouncedLimit(2.5), now, "r-named")
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize("secret", [SECRET, ""])
-def test_lift_lets_work_go_there_again(capsys, secret):
+def test_lift_ends_the_backoff_of_a_target(capsys, secret):
     async def scenario(gateway, address):
         now = clock.monotonic()
         assert not gateway.context.board.view("t-0").availability.may_send_work(now)
@@ -106,7 +106,7 @@
     run_scenario(scenario)
 
 
-def test_unknown_target_and_silent_gateway_are_clear_errors():
+def test_unknown_target_and_unreachable_gateway_raise_specific_errors():
     async def scenario(gateway, address):
         with pytest.raises(Refused, match="no-target"):
             await asyncio.to_thread(Rests(SECRET, "json").lift, address, "t-9")
--- a/tests/cli/test_trace.py
+++ b/tests/cli/test_trace.py
@@ -29,7 +29,7 @@
 ]
 
 
-def test_steps_come_in_order_with_what_their_instances_met_meanwhile():
+def test_steps_are_in_order_with_concurrent_events_of_their_instances():
     found = trace("r-1", filter(None, map(read_line, LINES)))
     assert found.outcome == "refused-busy"
     assert [step.message for step in found.steps] == ["not-admitted", "passed"]
@@ -39,7 +39,7 @@
     assert found.steps[0].text() == "02 g-2 not-admitted wait=0.4"
 
 
-def test_request_whose_end_nobody_wrote_has_an_unknown_outcome():
+def test_request_without_a_final_log_line_has_an_unknown_outcome():
     found = trace("r-1", filter(None, map(read_line, LINES[1:])))
     assert found.outcome == "unknown"
 
@@ -54,7 +54,7 @@
     assert "not-admitted" in printed and "t-2" not in printed
 
 
-def test_command_says_what_is_wrong(tmp_path):
+def test_command_reports_unknown_requests_and_unreadable_files(tmp_path):
     (tmp_path / "log").write_text(LINES[0])
     with pytest.raises(Refused, match="r-9"):
         Traystall().trace("r-9", str(tmp_path / "log"))
