--- a/tests/processes/test_control.py
+++ b/tests/processes/test_control.py
@@ -21,7 +21,7 @@
 
 
 def change_rate(rate):
-    """Return a change of the bundle that gives the second customer a rate."""
+    """Return a bundle edit that sets the rate limit of the second customer."""
 
     def change(documents):
         documents["customers"][1]["limits"] = {"rate": rate}
@@ -30,23 +30,23 @@
 
 
 async def apply_many(cluster, numbers, operator, answers):
-    """Apply a bundle of its own content for each number, resending whenever in doubt."""
+    """Apply a bundle with distinct content for each number; retry if the outcome is unknown."""
     base = load_bundle(cluster.bundle)
     client = ControlClient(cluster.control_addresses, CLUSTER, "", 20.0)
     try:
         for number in numbers:
-            content = with_mark(base, f"{operator}{number}")
+            content = add_marked_customer(base, f"{operator}{number}")
             request = ttypes.ApplyRequest(
                 number=number, digest=content[1], entities=content[0], operator=operator
             )
-            reply = await resend(client, request)
+            reply = await send_until_answered(client, request)
             answers.append((number, operator, reply.outcome, reply.winner))
     finally:
         await client.close()
 
 
-async def resend(client, request):
-    """Return the answer to a change, sent again as often as its answer is lost."""
+async def send_until_answered(client, request):
+    """Send a change until a reply arrives; return the reply."""
     while True:
         try:
             return await client.call_leader(request)
@@ -54,8 +54,8 @@
             continue
 
 
-def with_mark(base, mark):
-    """Return entities and digest of the bundle with one customer more."""
+def add_marked_customer(base, mark):
+    """Return entities and digest of the bundle with one added customer."""
     from traystall.catalog.deltas import entities_digest
     from traystall.core.serialization import pack
     from traystall.tables.entities import Customer
@@ -65,7 +65,7 @@
     return entities, entities_digest(entities)
 
 
-def in_force_everywhere(cluster, number):
+def is_in_force_everywhere(cluster, number):
     status = cluster.status()
     if status is None or status["number"] < number:
         return None
@@ -74,7 +74,7 @@
 
 
 def test_racing_operators_while_the_leader_dies(cluster):
-    """Two operators race 50 numbers; the leader is killed among them: one winner each."""
+    """Two operators race for 50 numbers while the leader is killed; each number has one winner."""
     answers = []
     numbers = range(2, 52)
 
@@ -102,12 +102,12 @@
     for number, operator, outcome, _ in answers:
         assert outcome == "accepted" or winners.get(number) != operator
     newest = max(winners)
-    wait_until(lambda: in_force_everywhere(cluster, newest), "the newest number in force")
+    wait_until(lambda: is_in_force_everywhere(cluster, newest), "the newest number in force")
     assert len(answers) == 100
 
 
 def test_hundreds_of_changes_while_a_daemon_is_down(cluster):
-    """300 changes pass a stopped control daemon and a stopped gateway; both catch up."""
+    """300 changes are applied while a control daemon and a gateway are down; both catch up."""
     leader = cluster.leader()[0]
     follower = (leader + 1) % 3
     cluster.controls[follower].kill()
@@ -117,9 +117,9 @@
     assert all(outcome == "accepted" for _, _, outcome, _ in answers)
     cluster.controls[follower].start()
     cluster.gateways[follower].start()
-    wait_until(lambda: in_force_everywhere(cluster, 301), "301 in force everywhere")
+    wait_until(lambda: is_in_force_everywhere(cluster, 301), "301 in force everywhere")
     wait_until(lambda: get(cluster.control_http[follower], "/readyz")[0] == 200, "the follower")
-    # The restarted daemon must be able to lead with all of it.
+    # The restarted daemon must be able to lead with all changes applied.
     cluster.controls[leader].kill()
     wait_until(lambda: cluster.leader() not in (None, [leader]), "another leader")
     assert cluster.status()["number"] == 301
@@ -128,13 +128,13 @@
 @pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGSTOP], ids=["killed", "frozen"])
 @pytest.mark.parametrize("victim", ["leader", "follower"])
 def test_stampings_while_a_control_daemon_fails(cluster, victim, number):
-    """Keyed stampings, each sent until answered, while one daemon dies or freezes."""
+    """Keyed stamp requests are retried until answered while a daemon is killed or frozen."""
     leader = cluster.leader()[0]
     position = leader if victim == "leader" else (leader + 1) % 3
     keys = [f"receipt-{n}" for n in range(30)]
 
     def stamp(key):
-        """Send one stamping again and again, through changing gateways, until it is whole."""
+        """Retry one stamp request over the gateways in turn until it succeeds."""
         for attempt in range(40):
             gateway = (int(key[8:]) + attempt) % len(cluster.gateways)
             status, _, answer = cluster.ask(
@@ -159,7 +159,7 @@
 
 
 def test_gateway_killed_while_it_stamps(cluster):
-    """The claim of a dead gateway is never run again, and the operator sees it."""
+    """A dead gateway's claim never runs again, and the status lists it as doubtful."""
     for name in cluster.pool("avisos-sat"):
         cluster.set_mode(name, factor=1000.0)
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
@@ -187,7 +187,7 @@
 
 
 def test_lost_disk_is_replaced_and_a_second_loss_survived(cluster):
-    """A wiped voter comes back as a new member; right after its repair another is lost."""
+    """A wiped voter rejoins as a new member; another voter is lost right after the repair."""
     cluster.ask("stamp-receipt", "maquiladora-bajio", None, 0, "key")
     leader = cluster.leader()[0]
     lost = (leader + 1) % 3
@@ -221,7 +221,7 @@
     status, _, problem = cluster.ask("stamp-receipt", "hoteles-centro", None, 0, "key")
     assert (status, problem["code"]) == (503, "ledger-unavailable")
     assert cluster.runs("avisos-sat") == []
-    # A gateway that restarts takes the configuration from its neighbours.
+    # A restarted gateway gets the configuration from its peers.
     cluster.gateways[1].kill()
     cluster.gateways[1].start()
     wait_until(lambda: get(cluster.gateway_addresses[1], "/readyz")[0] == 200, "the restart")
--- a/tests/processes/test_cut.py
+++ b/tests/processes/test_cut.py
@@ -37,12 +37,12 @@
 
 @pytest.mark.parametrize("gateways_too", [False, True], ids=["controls", "data-centre"])
 def test_cut_leader_is_replaced_and_never_steps_back(cluster, relay, gateways_too):
-    """The leader's data centre is cut off; the rest elects, accepts, stamps; then it heals."""
+    """The other data centres elect a leader and accept changes and stamps; then the cut heals."""
     position = cluster.leader()[0]
     name = CONTROLS[position]
     cut_from = others(name, CONTROLS)
     if gateways_too:
-        # Its gateway keeps its own control daemon and loses the others.
+        # The gateway of this data centre reaches only the local control daemon.
         cut_from += others(GATEWAYS[position], GATEWAYS)
         for control in others(name, CONTROLS):
             relay.cut(GATEWAYS[position], [control])
@@ -60,7 +60,8 @@
     status, _, _ = cluster.ask("stamp-receipt", "maquiladora-bajio", None, outside, "key")
     assert status == 200
     if gateways_too:
-        # Cut off, it serves what needs no majority, and refuses the rest without running it.
+        # The isolated gateway serves requests that need no majority and refuses the others
+        # without running them.
         assert cluster.ask("payroll-question", "hoteles-centro", gateway=position)[0] == 200
         runs = len(cluster.runs("avisos-sat"))
         status, _, problem = cluster.ask(
--- a/tests/processes/test_leaving.py
+++ b/tests/processes/test_leaving.py
@@ -11,8 +11,8 @@
 from tests.support.cluster import Cluster, get, wait_until
 
 
-class PlatformList:
-    """Serve the platform's list of instances; it is as current as the test keeps it."""
+class InstanceListServer:
+    """An HTTP server for the platform's list of instances, which the test sets."""
 
     def __init__(self):
         self.instances = []
@@ -27,7 +27,7 @@
                 self.wfile.write(body)
 
             def log_message(self, *_):
-                """Keep the test's output clean."""
+                """Suppress the request log."""
 
         self._server = http.server.ThreadingHTTPServer(("127.0.0.1", 0), Handler)
         self.url = f"http://127.0.0.1:{self._server.server_port}/instances"
@@ -39,7 +39,7 @@
 
 @pytest.fixture(scope="module")
 def platform():
-    served = PlatformList()
+    served = InstanceListServer()
     yield served
     served.close()
 
@@ -51,8 +51,8 @@
         yield running
 
 
-def everywhere_leaving(cluster, target):
-    """Return whether every gateway has logged that it knows of the leaving target."""
+def is_leaving_at_every_gateway(cluster, target):
+    """Return whether every live gateway has logged that the target is leaving."""
     return all(
         any(
             f'"target": "{target}", "leaving": true' in line
@@ -64,7 +64,7 @@
     )
 
 
-def ask_many(cluster, count=24):
+def send_concurrent_requests(cluster, count=24):
     with concurrent.futures.ThreadPoolExecutor(8) as pool:
         futures = [
             pool.submit(cluster.ask, "quick-reading", "coop-hsinchu", None, n % 3)
@@ -86,15 +86,15 @@
         ]
     else:
         cluster.set_mode(target, leaving=True)
-    wait_until(lambda: everywhere_leaving(cluster, target), "the news at every gateway")
+    wait_until(lambda: is_leaving_at_every_gateway(cluster, target), "the update at every gateway")
     before = len(cluster.records(target)["runs"])
     platform.instances = [i | {"state": "live"} for i in platform.instances]
-    assert ask_many(cluster) == [200] * 24
+    assert send_concurrent_requests(cluster) == [200] * 24
     assert len(cluster.records(target)["runs"]) == before
 
 
 def test_planned_stop_of_a_gateway_cuts_nothing(cluster):
-    """Long answers, whole and streamed, are in flight when the gateway is told to stop."""
+    """Long responses, plain and streamed, are in flight when the gateway receives SIGTERM."""
     stream = {"Accept": "text/event-stream"}
 
     def ask(number):
@@ -114,7 +114,7 @@
         assert status == 200
         assert answer["result"]["text"].startswith(f"n{number}:0 ")
         assert answer["result"]["tokens"] == 64
-    # While the balancer has not noticed, new requests are whole or not accepted at all.
+    # Until the load balancer notices, a new request is answered in full or not accepted.
     assert {status for status, _, _ in late_answers} <= {200, 0}
     assert cluster.gateways[1].popen.wait(60) == 0
     wait_until(
--- a/tests/processes/test_orders.py
+++ b/tests/processes/test_orders.py
@@ -9,8 +9,8 @@
     documents["targets"][0]["fencing"] = False
 
 
-def versions(cluster):
-    """Return the sets of versions that the engines hold now, by order records."""
+def loaded_versions(cluster):
+    """Return the model loaded_versions of each engine according to its last order."""
     held = []
     for name in cluster.pool("asistente-nomina"):
         orders = cluster.records(name)["orders"]
@@ -18,7 +18,7 @@
     return held
 
 
-def test_version_rolls_while_leaders_die():
+def test_version_update_continues_after_the_leader_is_killed():
     with Cluster("nomina") as cluster:
         assert cluster.cli("apply", cluster.write_bundle(2, new_version))[0] == 0
         pool = cluster.pool("asistente-nomina")
@@ -26,7 +26,7 @@
         leader = cluster.leader()[0]
         cluster.controls[leader].kill()
         done = [{"2"}] * len(pool)
-        wait_until(lambda: versions(cluster) == done, "the new version alone everywhere")
+        wait_until(lambda: loaded_versions(cluster) == done, "the new version alone everywhere")
         for name in pool:
             tokens = [(o["term"], o["sequence"]) for o in cluster.records(name)["orders"]]
             assert tokens == sorted(set(tokens))
--- a/tests/processes/test_reload.py
+++ b/tests/processes/test_reload.py
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("reload", [_RELOAD, "pass"])
-def test_hang_up_does_not_end_a_daemon(reload):
+def test_sighup_does_not_stop_a_daemon(reload):
     process = subprocess.Popen(
         [sys.executable, "-c", _PROGRAM.format(reload=reload)],
         stdout=subprocess.PIPE,
--- a/tests/processes/test_thin_path.py
+++ b/tests/processes/test_thin_path.py
@@ -6,7 +6,7 @@
 
 from tests.support.cluster import Cluster, get, post, wait_until
 
-ONE_OF_EACH_KIND = (
+ONE_TARGET_OF_EACH_KIND = (
     "hive-encoder-1",
     "hive-retriever-1",
     "hive-reranker-1",
@@ -18,7 +18,7 @@
 
 @pytest.fixture(scope="module")
 def cluster():
-    with Cluster("hive", solo=ONE_OF_EACH_KIND) as running:
+    with Cluster("hive", solo=ONE_TARGET_OF_EACH_KIND) as running:
         yield running
 
 
@@ -154,7 +154,7 @@
 
 
 def test_no_payload_or_key_in_any_log(cluster):
-    """Marked bodies and keys go through answers and failures; no log shows the mark."""
+    """Marked bodies and keys pass through responses and failures; no log contains the mark."""
     mark = "m4rk-7f3a"
     for target in ("hive-reranker-2", "alert-push-2", "traystall-pool-2"):
         cluster.set_mode(target, fail=500)
@@ -174,7 +174,7 @@
 
 def test_single_deaths_leave_requests_answered(cluster):
     """Kill one target of each kind, one control daemon (the leader) and one gateway in turn."""
-    for name in ONE_OF_EACH_KIND:
+    for name in ONE_TARGET_OF_EACH_KIND:
         cluster.fakes[name].kill()
         pipeline = "swarm-warning" if name.startswith("alert") else "nightly-report"
         pipeline = "quick-reading" if name.startswith("scale") else pipeline
