--- a/tests/cli/test_reference.py
+++ b/tests/cli/test_reference.py
@@ -125,11 +125,11 @@
     return [node.module] if isinstance(node, ast.ImportFrom) else []
 
 
-@pytest.mark.parametrize("arguments", [["--help"], ["--unknown", "x"], ["--folder"], []])
-def test_arguments_without_a_folder_write_nothing(tmp_path, monkeypatch, arguments):
+@pytest.mark.parametrize("words", [["--help"], ["--unknown", "x"], ["--folder"], []])
+def test_arguments_without_a_folder_write_nothing(tmp_path, monkeypatch, words):
     """Guards against a parser that uses a flag such as `--help` as the folder path."""
     monkeypatch.chdir(tmp_path)
-    monkeypatch.setattr("sys.argv", ["reference", *arguments])
+    monkeypatch.setattr("sys.argv", ["reference", *words])
     with contextlib.suppress(SystemExit):
         main()
     assert [path.name for path in tmp_path.iterdir()] == []
--- a/tests/platform/test_control_api.py
+++ b/tests/platform/test_control_api.py
@@ -39,7 +39,7 @@
         await server.close(0.1)
 
 
-async def send_order(port, method, zone="north"):
+async def send(port, method, zone="north"):
     url = f"http://127.0.0.1:{port}/traystall/evacuate/{zone}"
     async with aiohttp.ClientSession() as session, session.request(method, url) as response:
         return response.status
@@ -48,8 +48,8 @@
 def test_orders_are_passed_to_the_leader():
     async def scenario():
         async with start_api() as (leader, port):
-            assert await send_order(port, "POST") == 200
-            assert await send_order(port, "DELETE") == 200
+            assert await send(port, "POST") == 200
+            assert await send(port, "DELETE") == 200
             assert leader.orders == [("north", True), ("north", False)]
 
     asyncio.run(scenario())
@@ -63,7 +63,7 @@
             (RpcTimeout("late"), 503),
         ):
             async with start_api(error) as (_, port):
-                assert await send_order(port, "POST", "nowhere") == status
+                assert await send(port, "POST", "nowhere") == status
 
     asyncio.run(scenario())
 
@@ -78,7 +78,7 @@
             writer.close()
             await asyncio.sleep(0.1)
             assert leader.orders == []
-            assert await send_order(port, "POST") == 200
+            assert await send(port, "POST") == 200
 
     asyncio.run(scenario())
 
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -40,11 +40,11 @@
 
 
 @pytest.mark.parametrize(
-    ("extra", "forms_group"), [("bootstrap=true", True), ("bootstrap=false", False), ("", False)]
+    ("extra", "founds"), [("bootstrap=true", True), ("bootstrap=false", False), ("", False)]
 )
-def test_only_bootstrap_forms_a_new_group(extra, forms_group):
+def test_only_bootstrap_forms_a_new_group(extra, founds):
     settings = control.make_settings(NodeFile.parse(CORE + extra))
-    assert bool(settings.initial_members) is forms_group
+    assert bool(settings.initial_members) is founds
     assert settings.join == ["10.1.0.44:7740", "10.2.0.27:7740"]
     assert settings.number_rule == "highest" and settings.self_repair
 
--- a/tests/processes/test_evacuation.py
+++ b/tests/processes/test_evacuation.py
@@ -4,7 +4,7 @@
 
 from tests.support.cluster import Cluster, wait_until
 
-DATA_CENTRE = "queretaro-a"
+PLACE = "queretaro-a"
 POOLS = ("nomina-encoders", "nomina-retrievers", "nomina-rerankers", "asistente-nomina")
 
 
@@ -27,25 +27,25 @@
         assert code == 5 and "unknown-data-centre" in error
         assert cluster.status()["evacuated"] == []
 
-        code, output, error = cluster.cli("evacuate", DATA_CENTRE, "--output", "json")
+        code, output, error = cluster.cli("evacuate", PLACE, "--output", "json")
         assert code == 0, error
         document = json.loads(output)
-        assert document["evacuated"] == [DATA_CENTRE] and len(document["in_force"]) == 3
-        code, output, _ = cluster.cli("evacuate", DATA_CENTRE, "--output", "json")
+        assert document["evacuated"] == [PLACE] and len(document["in_force"]) == 3
+        code, output, _ = cluster.cli("evacuate", PLACE, "--output", "json")
         assert (code, json.loads(output)["changed"]) == (0, False)
 
-        before = count_runs_in(cluster, DATA_CENTRE)
+        before = count_runs_in(cluster, PLACE)
         ask_all_gateways(cluster, 12)
         leader = cluster.leader()[0]
         cluster.controls[leader].kill()
         wait_until(lambda: cluster.leader() not in (None, [leader]), "another leader")
         [listed] = cluster.status()["evacuated"]
-        assert listed["data_centre"] == DATA_CENTRE
+        assert listed["data_centre"] == PLACE
         ask_all_gateways(cluster, 12)
-        assert count_runs_in(cluster, DATA_CENTRE) == before
+        assert count_runs_in(cluster, PLACE) == before
 
-        code, _, error = cluster.cli("restore", DATA_CENTRE)
+        code, _, error = cluster.cli("restore", PLACE)
         assert code == 0, error
         assert cluster.status()["evacuated"] == []
         ask_all_gateways(cluster, 24)
-        assert count_runs_in(cluster, DATA_CENTRE) > before
+        assert count_runs_in(cluster, PLACE) > before
--- a/tests/processes/test_leaving.py
+++ b/tests/processes/test_leaving.py
@@ -86,7 +86,7 @@
         ]
     else:
         cluster.set_mode(target, leaving=True)
-    wait_until(lambda: is_leaving_at_every_gateway(cluster, target), "the update at every gateway")
+    wait_until(lambda: is_leaving_at_every_gateway(cluster, target), "the news at every gateway")
     before = len(cluster.records(target)["runs"])
     platform.instances = [i | {"state": "live"} for i in platform.instances]
     assert send_concurrent_requests(cluster) == [200] * 24
--- a/traystall/cli/main.py
+++ b/traystall/cli/main.py
@@ -37,7 +37,7 @@
 from traystall.core.exceptions import BundleError, ClientError
 from traystall.rpc.gen.wire import ttypes
 
-_STATUS_POLL_SECONDS = 0.1
+_POLL_SECONDS = 0.1
 _RESPONSE_MARGIN_SECONDS = 5.0
 
 
@@ -224,7 +224,7 @@
                 raise InDoubt(
                     f"The bundle was accepted but is not yet in force at: {', '.join(lagging)}."
                 )
-            await asyncio.sleep(_STATUS_POLL_SECONDS)
+            await asyncio.sleep(_POLL_SECONDS)
 
 
 def _load_bundle(path, number):
