--- a/tests/processes/test_control.py
+++ b/tests/processes/test_control.py
@@ -1,4 +1,4 @@
-"""Real processes under failure: killed and frozen daemons, lost disks, concurrent operators."""
+"""Promises 3, 4 and 7 on real processes: kills, freezes, lost disks, concurrent operators."""
 
 import asyncio
 import concurrent.futures
--- a/tests/processes/test_leaving.py
+++ b/tests/processes/test_leaving.py
@@ -1,4 +1,4 @@
-"""Real processes: leaving targets get no new work; a planned stop interrupts no request."""
+"""Promises 5 and 6 on real processes: leaving targets, planned stops."""
 
 import concurrent.futures
 import http.server
